--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -483,8 +483,11 @@
     for (const Attribute& a : r.attributes) {
       auto& mine = member.record.attributes;
       auto at = std::find_if(mine.begin(), mine.end(), [&](const Attribute& b) { return b.key == a.key; });
-      if (at == mine.end() && mine.size() < kMostAttributes) mine.push_back(a);
-      if (at != mine.end() && a.version > at->version) *at = a;
+      if (at != mine.end()) {
+        if (a.version > at->version) *at = a;
+      } else if (mine.size() < kMostAttributes) {
+        mine.push_back(a);
+      }
     }
     if (was == State::kSuspect) SetState(now, member, State::kAlive, Event::kAlive, "refuted");
     Tell(member.record);
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -149,6 +149,33 @@
   CHECK(hand.StateOf("c") == State::kAlive);
 }
 
+TEST_CASE(
+    "a later incarnation's attributes are taken from gossip: new ones, later versions, and no more than "
+    "fit") {
+  Hand hand;
+  Record a = Hand::Of("a"), b = Hand::Of("b");
+  hand.Join(a);
+  hand.Join(b);
+  Record later = b;
+  later.incarnation = 1;
+  later.attributes = {{"first", 1, "one"}};
+  hand.Say(Kind::kGossip, a, {later});
+  const std::vector<Attribute>& known = hand.view.members().at("b").record.attributes;
+  REQUIRE(known.size() == 1);
+  CHECK(known[0] == Attribute{"first", 1, "one"});
+  later.incarnation = 2;
+  later.attributes = {{"first", 2, "two"}, {"second", 1, "new"}};
+  hand.Say(Kind::kGossip, a, {later});
+  CHECK(known == std::vector<Attribute>{{"first", 2, "two"}, {"second", 1, "new"}});
+  later.incarnation = 3;
+  later.attributes = {{"first", 1, "old"}};
+  for (std::size_t i = 1; i < kMostAttributes; ++i)
+    later.attributes.push_back({"k" + std::to_string(i), 1, "x"});
+  hand.Say(Kind::kGossip, a, {later});
+  CHECK(known.size() == kMostAttributes);
+  CHECK(known[0] == Attribute{"first", 2, "two"});
+}
+
 TEST_CASE("incarnations and starts near the end of the numbers are not taken from hearsay") {
   Hand hand;
   Record a = Hand::Of("a"), b = Hand::Of("b");
