--- /dev/null
+++ b/tests/golden/console_golden_test.cpp
@@ -0,0 +1,128 @@
+// The console's answers of a running program, the fleet's view as JSON, the drain state file and the JSON
+// log, as an earlier build wrote them. Where times, ports or process numbers are in a text, its digits are
+// left out.
+#include <cstdio>
+#include <string>
+#include <vector>
+
+#include "../net/program.hpp"
+#include "golden.hpp"
+#include "maintenance/held.hpp"
+#include "net/log.hpp"
+#include "net/peers.hpp"
+#include "state/held_file.hpp"
+
+namespace dappletiller::testing {
+namespace {
+
+std::string Ask(Rig& outside, std::uint16_t port, const std::string& line) {
+  Peer peer = Peer::Dial(port);
+  peer.Say(line + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  outside.Until(line.c_str(), [&] { return peer.Ended(); });
+  return line + "\n" + peer.text + "\n----\n";
+}
+
+TEST_CASE("the console of a running program answers as before") {
+  Rig outside;
+  Host worker;
+  Program program(ProgramConfig(0, worker.port),
+                  {{"BALANCER_CONSOLE", "127.0.0.1:0"}, {"TMPDIR", "/nonexistent"}});
+  std::uint16_t port = PortAfter(outside, program, "console on port ");
+  std::string all;
+  for (const char* line : {"GET /_ready",
+                           "PUT /_ready",
+                           "PUT /_lameduck/on",
+                           "PUT /_lameduck/off",
+                           "GET /_lameduck/on",
+                           "PUT /_plan-servers/detach?who=s",
+                           "PUT /_plan-servers/attach?who=s",
+                           "PUT /_plan-servers/detach?who=never",
+                           "PUT /_plan-servers/attach?who=never",
+                           "PUT /_plan-servers/detach",
+                           "PUT /_plan-servers/detach?who=",
+                           "PUT /_plan-servers/detach?who=a&who=b",
+                           "PUT /_plan-servers/attach?who=a%20b",
+                           "GET /_plan-servers/attach?who=a",
+                           "GET /_fleet",
+                           "GET /_fleet?after=x",
+                           "GET /_fleet?before=1",
+                           "PUT /_fleet",
+                           "PUT /_fleet/leave",
+                           "GET /_fleet/leave",
+                           "PUT /_fleet/reap?who=m",
+                           "GET /_fleet/reap?who=m",
+                           "GET /_settings",
+                           "PUT /_settings",
+                           "GET /other",
+                           "nonsense"}) {
+    all += Ask(outside, port, line);
+  }
+  CHECK(Golden("console_answers.txt", all) == all);
+}
+
+struct NoPart final : PartSink {
+  void Grant(double, Micros) override {}
+};
+
+operators::FleetOptions FixedFleet() {
+  operators::FleetOptions options;
+  options.name = "golden";
+  options.self = "m1";
+  options.zone = "z1";
+  options.bind = {kLoopback, 0};
+  options.keepers = {"m1", "m2"};
+  options.lease = 60'000'000;
+  return options;
+}
+
+TEST_CASE("the view of the fleet has the same keys in the same order as before") {
+  Rig rig;
+  NoPart sink;
+  Peers first(rig.loop, rig.log, FixedFleet(), "n0", "z0", sink);
+  first.Start();
+  operators::FleetOptions options = FixedFleet();
+  options.self = "m2";
+  options.view.seeds = {first.view().self().address};
+  Peers second(rig.loop, rig.log, options, "n0", "z0", sink);
+  second.Start();
+  rig.Until("each knows the other",
+            [&] { return first.view().living() == 1 && second.view().living() == 1; });
+  second.Leave();
+  rig.Until("the first knows of the leave", [&] { return first.view().living() == 0; });
+  std::string all = WithoutNumbers(first.Json(0)) + "\n";
+  CHECK(Golden("console_fleet.txt", all) == all);
+}
+
+TEST_CASE("the drain state file is written as before, and the recorded one is read") {
+  maintenance::Held held({"w1", "w-2\"x"}, {{"w3", 1'700'000'000'000'000}, {"w4", 0}});
+  std::string text = state::HeldToJson(held);
+  std::string recorded = Golden("drain_state.json", text);
+  CHECK(recorded == text);
+  auto read = state::HeldFromJson(recorded);
+  REQUIRE(read.has_value());
+  CHECK(read->detached() == held.detached());
+  CHECK(read->returned() == held.returned());
+}
+
+TEST_CASE("the log's JSON lines have the same keys in the same order as before") {
+  std::FILE* file = std::tmpfile();
+  REQUIRE(file != nullptr);
+  {
+    Log log(file, "dappletiller");
+    log.Line("plain %d", 1);
+    log.Shape(true, Log::Level::kDebug);
+    log.At(Log::Level::kDebug, "a \"quoted\" line\twith\\escapes");
+    log.At(Log::Level::kWarn, "warning");
+    log.At(Log::Level::kError, "error");
+    log.Always("always");
+  }
+  std::rewind(file);
+  std::string text;
+  for (int c; (c = std::fgetc(file)) != EOF;) text.push_back(static_cast<char>(c));
+  std::fclose(file);
+  text = WithoutNumbers(text);
+  CHECK(Golden("log_lines.txt", text) == text);
+}
+
+}  // namespace
+}  // namespace dappletiller::testing
