--- a/src/console/command.cpp
+++ b/src/admin/command.cpp
@@ -1,4 +1,4 @@
-#include "console/command.hpp"
+#include "admin/command.hpp"
 
 #include <charconv>
 
--- a/src/console/command.hpp
+++ b/src/admin/command.hpp
@@ -1,8 +1,8 @@
 // The operators' console: what one HTTP/1.1 request to the second address asks for. Pure: it is handed a
 // parsed request and knows no socket, file or clock. A request that asks for nothing it knows gets a status
 // that says why (4xx), never an exception.
-#ifndef DAPPLETILLER_CONSOLE_COMMAND_HPP_
-#define DAPPLETILLER_CONSOLE_COMMAND_HPP_
+#ifndef DAPPLETILLER_ADMIN_COMMAND_HPP_
+#define DAPPLETILLER_ADMIN_COMMAND_HPP_
 
 #include <cstdint>
 #include <string>
@@ -36,4 +36,4 @@
 
 }  // namespace dappletiller::console
 
-#endif  // DAPPLETILLER_CONSOLE_COMMAND_HPP_
+#endif  // DAPPLETILLER_ADMIN_COMMAND_HPP_
--- a/src/net/console.cpp
+++ b/src/admin/console.cpp
@@ -1,12 +1,12 @@
-#include "net/console.hpp"
+#include "admin/console.hpp"
 
 #include <sys/socket.h>
 
 #include <cerrno>
 #include <system_error>
 
-#include "net/channel.hpp"
-#include "net/http.hpp"
+#include "http/http.hpp"
+#include "io/stream_socket.hpp"
 
 namespace dappletiller {
 
--- a/src/net/console.hpp
+++ b/src/admin/console.hpp
@@ -2,18 +2,18 @@
 // driver only reads, parses with the byte-fed parser and writes; what a call means is the handler's.
 // Guards against callers that stall it: each connection has kCallTime in all, and at most kMostCallers are
 // open, the oldest going first, so that a silent crowd never keeps a real caller waiting.
-#ifndef DAPPLETILLER_NET_CONSOLE_HPP_
-#define DAPPLETILLER_NET_CONSOLE_HPP_
+#ifndef DAPPLETILLER_ADMIN_CONSOLE_HPP_
+#define DAPPLETILLER_ADMIN_CONSOLE_HPP_
 
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "console/command.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/types.hpp"
+#include "admin/command.hpp"
+#include "dispatch/types.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
 
 namespace dappletiller {
 
@@ -59,4 +59,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_CONSOLE_HPP_
+#endif  // DAPPLETILLER_ADMIN_CONSOLE_HPP_
--- a/src/net/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -1,8 +1,8 @@
+#include "base/endpoint.hpp"
+
 #include <charconv>
 #include <system_error>
 
-#include "net/types.hpp"
-
 namespace dappletiller {
 
 std::optional<Endpoint> ParseEndpoint(std::string_view text) {
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -13,13 +13,13 @@
 #include <memory>
 #include <string>
 
-#include "cli/control.hpp"
-#include "cli/proxy.hpp"
+#include "config/operator_file.hpp"
+#include "config/section.hpp"
+#include "control_server/control_server.hpp"
+#include "http/http.hpp"
+#include "io/event_loop.hpp"
 #include "membership/codec.hpp"
-#include "net/http.hpp"
-#include "net/loop.hpp"
-#include "operator/operator_file.hpp"
-#include "operator/section.hpp"
+#include "proxy/proxy.hpp"
 
 namespace dappletiller::cli {
 namespace {
--- a/src/operator/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -1,4 +1,4 @@
-#include "operator/operator_file.hpp"
+#include "config/operator_file.hpp"
 
 #include <sys/stat.h>
 
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "operator/section.hpp"
+#include "config/section.hpp"
 
 namespace dappletiller::operators {
 namespace {
--- a/src/operator/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,8 +1,8 @@
 // The operators' own file (TOML): what the platform's configuration doesn't say. Without it the program is
 // exactly what the platform starts. Reads a text, touches no file but the key's, which the caller hands over
 // as a function. Throws OperatorError (section.hpp): file, line, key, remedy.
-#ifndef DAPPLETILLER_OPERATOR_OPERATOR_FILE_HPP_
-#define DAPPLETILLER_OPERATOR_OPERATOR_FILE_HPP_
+#ifndef DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
+#define DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
 
 #include <functional>
 #include <map>
@@ -11,9 +11,9 @@
 #include <string_view>
 #include <vector>
 
+#include "dispatch/types.hpp"
 #include "membership/codec.hpp"
 #include "membership/view.hpp"
-#include "net/types.hpp"
 
 namespace dappletiller::operators {
 
@@ -65,4 +65,4 @@
 
 }  // namespace dappletiller::operators
 
-#endif  // DAPPLETILLER_OPERATOR_OPERATOR_FILE_HPP_
+#endif  // DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
--- a/src/net/config.cpp
+++ b/src/config/platform_config.cpp
@@ -1,4 +1,4 @@
-#include "net/config.hpp"
+#include "config/platform_config.hpp"
 
 #include <json/json.h>
 
--- a/src/net/config.hpp
+++ b/src/config/platform_config.hpp
@@ -1,6 +1,6 @@
 // The configuration file: JSON to the module's settings and to what the network code needs of them.
-#ifndef DAPPLETILLER_NET_CONFIG_HPP_
-#define DAPPLETILLER_NET_CONFIG_HPP_
+#ifndef DAPPLETILLER_CONFIG_PLATFORM_CONFIG_HPP_
+#define DAPPLETILLER_CONFIG_PLATFORM_CONFIG_HPP_
 
 #include <optional>
 #include <stdexcept>
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "net/types.hpp"
+#include "dispatch/types.hpp"
 #include "sandstand/balancer.hpp"
 
 namespace dappletiller {
@@ -51,4 +51,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_CONFIG_HPP_
+#endif  // DAPPLETILLER_CONFIG_PLATFORM_CONFIG_HPP_
--- a/src/operator/section.cpp
+++ b/src/config/section.cpp
@@ -1,4 +1,4 @@
-#include "operator/section.hpp"
+#include "config/section.hpp"
 
 #include <sstream>
 
--- a/src/operator/section.hpp
+++ b/src/config/section.hpp
@@ -1,7 +1,7 @@
 // Reading one table of a TOML file by key: every error names file, line, key and remedy, and a key that
 // nobody asked for is refused, so that a misspelt one can't silently do nothing. Throws OperatorError only.
-#ifndef DAPPLETILLER_OPERATOR_SECTION_HPP_
-#define DAPPLETILLER_OPERATOR_SECTION_HPP_
+#ifndef DAPPLETILLER_CONFIG_SECTION_HPP_
+#define DAPPLETILLER_CONFIG_SECTION_HPP_
 
 #include <toml++/toml.h>
 
@@ -71,4 +71,4 @@
 
 }  // namespace dappletiller::operators
 
-#endif  // DAPPLETILLER_OPERATOR_SECTION_HPP_
+#endif  // DAPPLETILLER_CONFIG_SECTION_HPP_
--- a/src/feed/admission.cpp
+++ b/src/config_feed/admission.cpp
@@ -1,4 +1,4 @@
-#include "feed/admission.hpp"
+#include "config_feed/admission.hpp"
 
 #include <algorithm>
 
--- a/src/feed/admission.hpp
+++ b/src/config_feed/admission.hpp
@@ -6,8 +6,8 @@
 // pace at which places come free, and told when that is; a turn that is far off is told in steps, and kept.
 // Guards against a crowd that comes back together and finds no place again, and against the one that asks
 // most often being served first.
-#ifndef DAPPLETILLER_FEED_ADMISSION_HPP_
-#define DAPPLETILLER_FEED_ADMISSION_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_ADMISSION_HPP_
+#define DAPPLETILLER_CONFIG_FEED_ADMISSION_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -49,4 +49,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_ADMISSION_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_ADMISSION_HPP_
--- a/src/net/settings_feed.cpp
+++ b/src/config_feed/client/settings_feed.cpp
@@ -1,11 +1,11 @@
-#include "net/settings_feed.hpp"
+#include "config_feed/client/settings_feed.hpp"
 
 #include <json/json.h>
 
 #include <charconv>
 #include <utility>
 
-#include "feed/page_json.hpp"
+#include "config_feed/page_json.hpp"
 
 namespace dappletiller {
 namespace {
--- a/src/net/settings_feed.hpp
+++ b/src/config_feed/client/settings_feed.hpp
@@ -1,17 +1,17 @@
 // Follows the settings feed over HTTP/1.1: the thin driver of feed::Follower, in proxies, in control machines
 // and in hollow ones. One connection, one question at a time; whom to ask and what an answer means is the
 // Follower's.
-#ifndef DAPPLETILLER_NET_SETTINGS_FEED_HPP_
-#define DAPPLETILLER_NET_SETTINGS_FEED_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_CLIENT_SETTINGS_FEED_HPP_
+#define DAPPLETILLER_CONFIG_FEED_CLIENT_SETTINGS_FEED_HPP_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "feed/follower.hpp"
-#include "net/channel.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
+#include "config_feed/follower.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "io/stream_socket.hpp"
 
 namespace dappletiller {
 
@@ -73,4 +73,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_SETTINGS_FEED_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_CLIENT_SETTINGS_FEED_HPP_
--- a/src/feed/control_machine.cpp
+++ b/src/config_feed/control_machine.cpp
@@ -1,4 +1,4 @@
-#include "feed/control_machine.hpp"
+#include "config_feed/control_machine.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/feed/control_machine.hpp
+++ b/src/config_feed/control_machine.hpp
@@ -3,17 +3,17 @@
 // publishes what the file says while its serial is above all that the others hold; with an older file it is
 // one that follows. There is no election: who is the origin is the operators' word, and a second origin is
 // told by its serial. Pure.
-#ifndef DAPPLETILLER_FEED_CONTROL_MACHINE_HPP_
-#define DAPPLETILLER_FEED_CONTROL_MACHINE_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_CONTROL_MACHINE_HPP_
+#define DAPPLETILLER_CONFIG_FEED_CONTROL_MACHINE_HPP_
 
 #include <cstdint>
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "feed/admission.hpp"
-#include "feed/follower.hpp"
-#include "feed/store.hpp"
+#include "config_feed/admission.hpp"
+#include "config_feed/follower.hpp"
+#include "config_feed/store.hpp"
 
 namespace dappletiller::feed {
 
@@ -61,4 +61,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_CONTROL_MACHINE_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_CONTROL_MACHINE_HPP_
--- a/src/feed/follower.cpp
+++ b/src/config_feed/follower.cpp
@@ -1,4 +1,4 @@
-#include "feed/follower.hpp"
+#include "config_feed/follower.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/feed/follower.hpp
+++ b/src/config_feed/follower.hpp
@@ -12,8 +12,8 @@
 // for noticing a watch that fell silent, kAnswerWithin for each other machine that is silent too, and a
 // jitter of kJitter each: with 8 machines, 7 of them silent, 2 + 1 + 7 x 1 + 8 x 0.05 = 10.4 s, below the aim
 // of 12 s.
-#ifndef DAPPLETILLER_FEED_FOLLOWER_HPP_
-#define DAPPLETILLER_FEED_FOLLOWER_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_FOLLOWER_HPP_
+#define DAPPLETILLER_CONFIG_FEED_FOLLOWER_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -21,12 +21,11 @@
 #include <string>
 #include <vector>
 
-#include "feed/store.hpp"
+#include "base/time.hpp"
+#include "config_feed/store.hpp"
 
 namespace dappletiller::feed {
 
-using Micros = std::int64_t;
-
 constexpr Micros kWait = 2'000'000;          // a watch waits so long at the machine for news
 constexpr Micros kAnswerWithin = 1'000'000;  // then its answer comes, or the machine counts as silent
 constexpr Micros kJitter = 50'000;           // before the next machine is asked
@@ -137,4 +136,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_FOLLOWER_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_FOLLOWER_HPP_
--- a/src/feed/in_force.cpp
+++ b/src/config_feed/in_force.cpp
@@ -1,4 +1,4 @@
-#include "feed/in_force.hpp"
+#include "config_feed/in_force.hpp"
 
 #include <set>
 #include <utility>
--- a/src/feed/in_force.hpp
+++ b/src/config_feed/in_force.hpp
@@ -1,14 +1,14 @@
 // What a proxy goes by: entries of several services under one name, settled the same way everywhere. A name
 // said by several services that the proxy takes is in force as the first of them in alphabetical order says;
 // as everybody's (`*`) only where none of them does. A change costs by the number of services in scope. Pure.
-#ifndef DAPPLETILLER_FEED_IN_FORCE_HPP_
-#define DAPPLETILLER_FEED_IN_FORCE_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_IN_FORCE_HPP_
+#define DAPPLETILLER_CONFIG_FEED_IN_FORCE_HPP_
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "feed/store.hpp"
+#include "config_feed/store.hpp"
 
 namespace dappletiller::feed {
 
@@ -22,4 +22,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_IN_FORCE_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_IN_FORCE_HPP_
--- a/src/feed/origin.cpp
+++ b/src/config_feed/origin.cpp
@@ -1,4 +1,4 @@
-#include "feed/origin.hpp"
+#include "config_feed/origin.hpp"
 
 #include <json/json.h>
 
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-#include "feed/values.hpp"
+#include "config_feed/values.hpp"
 
 namespace dappletiller::feed {
 namespace {
--- a/src/feed/origin.hpp
+++ b/src/config_feed/origin.hpp
@@ -8,8 +8,8 @@
 // costs its own line and the hashing of the file. Tenants and classes are checked for what proxies will make
 // of them; the values of other kinds are any JSON. Throws OriginError: file, line, key, remedy; what was read
 // before stays. Touches no file.
-#ifndef DAPPLETILLER_FEED_ORIGIN_HPP_
-#define DAPPLETILLER_FEED_ORIGIN_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_ORIGIN_HPP_
+#define DAPPLETILLER_CONFIG_FEED_ORIGIN_HPP_
 
 #include <cstdint>
 #include <stdexcept>
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "feed/store.hpp"
+#include "config_feed/store.hpp"
 
 namespace dappletiller::feed {
 
@@ -61,4 +61,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_ORIGIN_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_ORIGIN_HPP_
--- a/src/feed/page_json.cpp
+++ b/src/config_feed/page_json.cpp
@@ -1,4 +1,4 @@
-#include "feed/page_json.hpp"
+#include "config_feed/page_json.hpp"
 
 #include <json/json.h>
 
--- a/src/feed/page_json.hpp
+++ b/src/config_feed/page_json.hpp
@@ -6,14 +6,14 @@
 //    "changes":[[341,"tenant/plan-7/acme","{...}"],[351,"tenant/plan-7/gone"]]}
 //
 // Numbers of 64 bits that may pass 2^53 are strings. Anything malformed, doubled or out of bounds is nothing.
-#ifndef DAPPLETILLER_FEED_PAGE_JSON_HPP_
-#define DAPPLETILLER_FEED_PAGE_JSON_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_PAGE_JSON_HPP_
+#define DAPPLETILLER_CONFIG_FEED_PAGE_JSON_HPP_
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "feed/store.hpp"
+#include "config_feed/store.hpp"
 
 namespace dappletiller::feed {
 
@@ -32,4 +32,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_PAGE_JSON_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_PAGE_JSON_HPP_
--- a/src/feed/store.cpp
+++ b/src/config_feed/store.cpp
@@ -1,4 +1,4 @@
-#include "feed/store.hpp"
+#include "config_feed/store.hpp"
 
 #include <algorithm>
 #include <queue>
--- a/src/feed/store.hpp
+++ b/src/config_feed/store.hpp
@@ -14,8 +14,8 @@
 // PostgreSQL's recovery are the model).
 //
 // Bad input: keys and values out of bounds are refused by ReadKey and kLongestValue before they come here.
-#ifndef DAPPLETILLER_FEED_STORE_HPP_
-#define DAPPLETILLER_FEED_STORE_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_STORE_HPP_
+#define DAPPLETILLER_CONFIG_FEED_STORE_HPP_
 
 #include <compare>
 #include <cstddef>
@@ -149,4 +149,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_STORE_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_STORE_HPP_
--- a/src/feed/values.cpp
+++ b/src/config_feed/values.cpp
@@ -1,4 +1,4 @@
-#include "feed/values.hpp"
+#include "config_feed/values.hpp"
 
 #include <json/json.h>
 
--- a/src/feed/values.hpp
+++ b/src/config_feed/values.hpp
@@ -1,7 +1,7 @@
 // What the program makes of a value of a kind it knows. Used where values are written (the origin checks
 // them) and where they come in force, so that both agree.
-#ifndef DAPPLETILLER_FEED_VALUES_HPP_
-#define DAPPLETILLER_FEED_VALUES_HPP_
+#ifndef DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
+#define DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -29,4 +29,4 @@
 
 }  // namespace dappletiller::feed
 
-#endif  // DAPPLETILLER_FEED_VALUES_HPP_
+#endif  // DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
--- a/src/cli/control.cpp
+++ b/src/control_server/control_server.cpp
@@ -1,4 +1,4 @@
-#include "cli/control.hpp"
+#include "control_server/control_server.hpp"
 
 #include <sys/resource.h>
 #include <sys/signalfd.h>
@@ -13,14 +13,14 @@
 #include <stdexcept>
 #include <tuple>
 
-#include "feed/control_machine.hpp"
-#include "feed/origin.hpp"
-#include "net/feed_server.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/settings_feed.hpp"
-#include "operator/operator_file.hpp"
-#include "operator/section.hpp"
+#include "config/operator_file.hpp"
+#include "config/section.hpp"
+#include "config_feed/client/settings_feed.hpp"
+#include "config_feed/control_machine.hpp"
+#include "config_feed/origin.hpp"
+#include "control_server/feed_server.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
 
 namespace dappletiller {
 namespace {
--- a/src/cli/control.hpp
+++ b/src/control_server/control_server.hpp
@@ -1,7 +1,7 @@
 // One machine of the settings feed (`dappletiller control`), from its start to its end: reads the origin's
 // file if it has one, follows the others, tells proxies and machines.
-#ifndef DAPPLETILLER_CLI_CONTROL_HPP_
-#define DAPPLETILLER_CLI_CONTROL_HPP_
+#ifndef DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
+#define DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
 
 #include <string>
 
@@ -12,4 +12,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_CLI_CONTROL_HPP_
+#endif  // DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
--- a/src/net/feed_server.cpp
+++ b/src/control_server/feed_server.cpp
@@ -1,4 +1,4 @@
-#include "net/feed_server.hpp"
+#include "control_server/feed_server.hpp"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "feed/page_json.hpp"
-#include "net/channel.hpp"
-#include "net/http.hpp"
+#include "config_feed/page_json.hpp"
+#include "http/http.hpp"
+#include "io/stream_socket.hpp"
 
 namespace dappletiller {
 namespace {
--- a/src/net/feed_server.hpp
+++ b/src/control_server/feed_server.hpp
@@ -1,7 +1,7 @@
 // Tells the settings feed to whoever asks: the thin driver of feed::ControlMachine, over HTTP/1.1. A question
 // that finds nothing new is kept until something in its scope is, or its wait is over.
-#ifndef DAPPLETILLER_NET_FEED_SERVER_HPP_
-#define DAPPLETILLER_NET_FEED_SERVER_HPP_
+#ifndef DAPPLETILLER_CONTROL_SERVER_FEED_SERVER_HPP_
+#define DAPPLETILLER_CONTROL_SERVER_FEED_SERVER_HPP_
 
 #include <cstdint>
 #include <map>
@@ -9,10 +9,10 @@
 #include <set>
 #include <string>
 
-#include "feed/control_machine.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/types.hpp"
+#include "config_feed/control_machine.hpp"
+#include "dispatch/types.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
 
 namespace dappletiller {
 
@@ -53,4 +53,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_FEED_SERVER_HPP_
+#endif  // DAPPLETILLER_CONTROL_SERVER_FEED_SERVER_HPP_
--- a/src/net/discovery.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,8 +1,8 @@
-#include "net/discovery.hpp"
+#include "discovery/discovery_client.hpp"
 
 #include <utility>
 
-#include "limits/watch_times.hpp"
+#include "discovery/retry_schedule.hpp"
 
 namespace dappletiller {
 namespace {
--- a/src/net/discovery.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,17 +1,17 @@
 // Follows the list of workers over HTTP: a watch that, once begun, goes on by itself whatever fails
 // (limits/watch_times says when it is asked again), and single fetches.
-#ifndef DAPPLETILLER_NET_DISCOVERY_HPP_
-#define DAPPLETILLER_NET_DISCOVERY_HPP_
+#ifndef DAPPLETILLER_DISCOVERY_DISCOVERY_CLIENT_HPP_
+#define DAPPLETILLER_DISCOVERY_DISCOVERY_CLIENT_HPP_
 
 #include <memory>
 #include <random>
 #include <string>
 
-#include "net/channel.hpp"
-#include "net/config.hpp"
-#include "net/gateway.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
+#include "config/platform_config.hpp"
+#include "dispatch/request_dispatcher.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "io/stream_socket.hpp"
 
 namespace dappletiller {
 
@@ -66,4 +66,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_DISCOVERY_HPP_
+#endif  // DAPPLETILLER_DISCOVERY_DISCOVERY_CLIENT_HPP_
--- a/src/limits/watch_times.hpp
+++ b/src/discovery/retry_schedule.hpp
@@ -15,8 +15,8 @@
 // none of its work is thrown away: a call that it holds in its queue is heard out for over half of the clock.
 //
 // Pure: no clock, no socket, no random numbers of its own.
-#ifndef DAPPLETILLER_LIMITS_WATCH_TIMES_HPP_
-#define DAPPLETILLER_LIMITS_WATCH_TIMES_HPP_
+#ifndef DAPPLETILLER_DISCOVERY_RETRY_SCHEDULE_HPP_
+#define DAPPLETILLER_DISCOVERY_RETRY_SCHEDULE_HPP_
 
 #include <algorithm>
 #include <cstdint>
@@ -106,4 +106,4 @@
 
 }  // namespace dappletiller::limits
 
-#endif  // DAPPLETILLER_LIMITS_WATCH_TIMES_HPP_
+#endif  // DAPPLETILLER_DISCOVERY_RETRY_SCHEDULE_HPP_
--- a/src/net/tally.hpp
+++ b/src/dispatch/counters.hpp
@@ -1,7 +1,7 @@
 // What passed through this proxy since the last line about it: plain counts, so that a whole fleet's logs can
 // be added up second by second (tools/fleet_table). Counting decides nothing.
-#ifndef DAPPLETILLER_NET_TALLY_HPP_
-#define DAPPLETILLER_NET_TALLY_HPP_
+#ifndef DAPPLETILLER_DISPATCH_COUNTERS_HPP_
+#define DAPPLETILLER_DISPATCH_COUNTERS_HPP_
 
 #include <array>
 
@@ -24,4 +24,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_TALLY_HPP_
+#endif  // DAPPLETILLER_DISPATCH_COUNTERS_HPP_
--- a/src/net/gateway.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "net/gateway.hpp"
+#include "dispatch/request_dispatcher.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/net/gateway.hpp
+++ b/src/dispatch/request_dispatcher.hpp
@@ -1,7 +1,7 @@
 // Owns the decision module and the table of calls and attempts. It turns neutral arrivals and outcomes
 // into the module's events and carries its actions out. It decides nothing and knows no protocol.
-#ifndef DAPPLETILLER_NET_GATEWAY_HPP_
-#define DAPPLETILLER_NET_GATEWAY_HPP_
+#ifndef DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
+#define DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
 
 #include <deque>
 #include <map>
@@ -11,11 +11,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "maintenance/held.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/tally.hpp"
-#include "net/types.hpp"
+#include "dispatch/counters.hpp"
+#include "dispatch/types.hpp"
+#include "drain/held.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
 #include "sandstand/balancer.hpp"
 
 namespace dappletiller {
@@ -122,4 +122,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_GATEWAY_HPP_
+#endif  // DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
--- a/src/net/types.hpp
+++ b/src/dispatch/types.hpp
@@ -1,7 +1,7 @@
 // The neutral words between protocols, gateway and discovery. Nothing here knows a wire format, so a second
 // protocol can bring its own acceptor and worker links and go through the same decisions and rules.
-#ifndef DAPPLETILLER_NET_TYPES_HPP_
-#define DAPPLETILLER_NET_TYPES_HPP_
+#ifndef DAPPLETILLER_DISPATCH_TYPES_HPP_
+#define DAPPLETILLER_DISPATCH_TYPES_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -11,27 +11,15 @@
 #include <string_view>
 #include <vector>
 
+#include "base/endpoint.hpp"
+#include "base/payload.hpp"
+#include "base/time.hpp"
+
 namespace dappletiller {
 
-using Micros = std::int64_t;  // a point on the loop's clock, or a span
 using CallId = std::uint64_t;
 using WorkerId = std::uint32_t;
 
-// What a call or an answer carries through the gateway unread; each protocol derives its own.
-class Payload {
- public:
-  virtual ~Payload() = default;
-};
-using PayloadRef = std::shared_ptr<const Payload>;
-
-// An IPv4 address in host byte order. Port 0 means, for a listener, any that is free.
-struct Endpoint {
-  std::uint32_t address = 0;
-  std::uint16_t port = 0;
-  bool operator==(const Endpoint&) const = default;
-};
-std::optional<Endpoint> ParseEndpoint(std::string_view text);
-
 struct Arrival {
   int call_class = 0;
   int tenant = -1;      // its place in the settings; -1: none that they name
@@ -135,4 +123,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_TYPES_HPP_
+#endif  // DAPPLETILLER_DISPATCH_TYPES_HPP_
--- a/src/net/acceptor.cpp
+++ b/src/downstream/listener.cpp
@@ -1,4 +1,4 @@
-#include "net/acceptor.hpp"
+#include "downstream/listener.hpp"
 
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -14,7 +14,7 @@
 #include <system_error>
 #include <utility>
 
-#include "net/receive_times.hpp"
+#include "downstream/receive_times.hpp"
 
 namespace dappletiller {
 namespace {
--- a/src/net/acceptor.hpp
+++ b/src/downstream/listener.hpp
@@ -1,6 +1,6 @@
 // The clients' side over HTTP: takes connections and calls, gives final answers.
-#ifndef DAPPLETILLER_NET_ACCEPTOR_HPP_
-#define DAPPLETILLER_NET_ACCEPTOR_HPP_
+#ifndef DAPPLETILLER_DOWNSTREAM_LISTENER_HPP_
+#define DAPPLETILLER_DOWNSTREAM_LISTENER_HPP_
 
 #include <memory>
 #include <string>
@@ -8,12 +8,12 @@
 #include <unordered_set>
 #include <vector>
 
+#include "dispatch/request_dispatcher.hpp"
+#include "io/descriptor_limit.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "io/stream_socket.hpp"
 #include "limits/client_room.hpp"
-#include "net/budget.hpp"
-#include "net/channel.hpp"
-#include "net/gateway.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
 
 namespace dappletiller {
 
@@ -122,4 +122,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_ACCEPTOR_HPP_
+#endif  // DAPPLETILLER_DOWNSTREAM_LISTENER_HPP_
--- a/src/net/receive_times.cpp
+++ b/src/downstream/receive_times.cpp
@@ -1,4 +1,4 @@
-#include "net/receive_times.hpp"
+#include "downstream/receive_times.hpp"
 
 #include <algorithm>
 
--- a/src/net/receive_times.hpp
+++ b/src/downstream/receive_times.hpp
@@ -1,12 +1,12 @@
 // When the bytes of a connection were received, for the time of a request's last byte: a client's patience
 // runs from there, also where the request waits behind the answer to an earlier one.
-#ifndef DAPPLETILLER_NET_RECEIVE_TIMES_HPP_
-#define DAPPLETILLER_NET_RECEIVE_TIMES_HPP_
+#ifndef DAPPLETILLER_DOWNSTREAM_RECEIVE_TIMES_HPP_
+#define DAPPLETILLER_DOWNSTREAM_RECEIVE_TIMES_HPP_
 
 #include <cstddef>
 #include <vector>
 
-#include "net/types.hpp"
+#include "base/time.hpp"
 
 namespace dappletiller {
 
@@ -40,4 +40,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_RECEIVE_TIMES_HPP_
+#endif  // DAPPLETILLER_DOWNSTREAM_RECEIVE_TIMES_HPP_
--- a/src/maintenance/held.cpp
+++ b/src/drain/held.cpp
@@ -1,4 +1,4 @@
-#include "maintenance/held.hpp"
+#include "drain/held.hpp"
 
 #include <algorithm>
 
--- a/src/maintenance/held.hpp
+++ b/src/drain/held.hpp
@@ -2,8 +2,8 @@
 // Pure: no socket, file or clock; times are handed in. A held worker counts as draining whatever discovery
 // says, until it is put back; then it counts as started at that moment, so that it is treated as cold.
 // The state travels to a successor process through `src/state/held_file`.
-#ifndef DAPPLETILLER_MAINTENANCE_HELD_HPP_
-#define DAPPLETILLER_MAINTENANCE_HELD_HPP_
+#ifndef DAPPLETILLER_DRAIN_HELD_HPP_
+#define DAPPLETILLER_DRAIN_HELD_HPP_
 
 #include <cstdint>
 #include <map>
@@ -42,4 +42,4 @@
 
 }  // namespace dappletiller::maintenance
 
-#endif  // DAPPLETILLER_MAINTENANCE_HELD_HPP_
+#endif  // DAPPLETILLER_DRAIN_HELD_HPP_
--- a/src/state/held_file.cpp
+++ b/src/drain/held_file.cpp
@@ -1,4 +1,4 @@
-#include "state/held_file.hpp"
+#include "drain/held_file.hpp"
 
 #include <json/json.h>
 
--- a/src/state/held_file.hpp
+++ b/src/drain/held_file.hpp
@@ -1,14 +1,14 @@
 // Workers held by the operators, as the JSON file that a successor process reads in an upgrade. What it never
 // does: touch a file (the caller reads and writes), or take a file in part: one that is cut short, foreign or
 // of another version gives nothing, and the caller logs it.
-#ifndef DAPPLETILLER_STATE_HELD_FILE_HPP_
-#define DAPPLETILLER_STATE_HELD_FILE_HPP_
+#ifndef DAPPLETILLER_DRAIN_HELD_FILE_HPP_
+#define DAPPLETILLER_DRAIN_HELD_FILE_HPP_
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "maintenance/held.hpp"
+#include "drain/held.hpp"
 
 namespace dappletiller::state {
 
@@ -18,4 +18,4 @@
 
 }  // namespace dappletiller::state
 
-#endif  // DAPPLETILLER_STATE_HELD_FILE_HPP_
+#endif  // DAPPLETILLER_DRAIN_HELD_FILE_HPP_
--- a/src/net/body_memory.cpp
+++ b/src/http/body_memory.cpp
@@ -1,4 +1,4 @@
-#include "net/body_memory.hpp"
+#include "http/body_memory.hpp"
 
 namespace dappletiller {
 
--- a/src/net/body_memory.hpp
+++ b/src/http/body_memory.hpp
@@ -5,8 +5,8 @@
 // So a few long bodies pass, and many at once are refused before they exhaust the process's memory.
 //
 // Pure: no I/O, no clock, no allocation of its own. One instance is shared by all connections of a process.
-#ifndef DAPPLETILLER_NET_BODY_MEMORY_HPP_
-#define DAPPLETILLER_NET_BODY_MEMORY_HPP_
+#ifndef DAPPLETILLER_HTTP_BODY_MEMORY_HPP_
+#define DAPPLETILLER_HTTP_BODY_MEMORY_HPP_
 
 #include <cstddef>
 #include <memory>
@@ -51,4 +51,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_BODY_MEMORY_HPP_
+#endif  // DAPPLETILLER_HTTP_BODY_MEMORY_HPP_
--- a/src/net/http.cpp
+++ b/src/http/http.cpp
@@ -1,4 +1,4 @@
-#include "net/http.hpp"
+#include "http/http.hpp"
 
 #include <sys/uio.h>
 
--- a/src/net/http.hpp
+++ b/src/http/http.hpp
@@ -1,6 +1,6 @@
 // HTTP/1.1 as a state machine that is fed bytes: it knows no socket. One parser serves both directions.
-#ifndef DAPPLETILLER_NET_HTTP_HPP_
-#define DAPPLETILLER_NET_HTTP_HPP_
+#ifndef DAPPLETILLER_HTTP_HTTP_HPP_
+#define DAPPLETILLER_HTTP_HTTP_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,8 +12,9 @@
 #include <string_view>
 #include <vector>
 
-#include "net/body_memory.hpp"
-#include "net/types.hpp"
+#include "base/payload.hpp"
+#include "base/time.hpp"
+#include "http/body_memory.hpp"
 
 struct iovec;
 
@@ -156,4 +157,4 @@
 
 }  // namespace dappletiller::http
 
-#endif  // DAPPLETILLER_NET_HTTP_HPP_
+#endif  // DAPPLETILLER_HTTP_HTTP_HPP_
--- a/src/net/budget.hpp
+++ b/src/io/descriptor_limit.hpp
@@ -1,6 +1,6 @@
 // The connections that all parts may hold together, so that the limit on descriptors binds in one place.
-#ifndef DAPPLETILLER_NET_BUDGET_HPP_
-#define DAPPLETILLER_NET_BUDGET_HPP_
+#ifndef DAPPLETILLER_IO_DESCRIPTOR_LIMIT_HPP_
+#define DAPPLETILLER_IO_DESCRIPTOR_LIMIT_HPP_
 
 #include <cstddef>
 #include <functional>
@@ -54,4 +54,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_BUDGET_HPP_
+#endif  // DAPPLETILLER_IO_DESCRIPTOR_LIMIT_HPP_
--- a/src/net/loop.cpp
+++ b/src/io/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "io/event_loop.hpp"
 
 #include <netinet/in.h>
 #include <sys/epoll.h>
--- a/src/net/loop.hpp
+++ b/src/io/event_loop.hpp
@@ -1,6 +1,6 @@
 // The event loop: edge-triggered epoll, timers, one monotonic clock, ownership of descriptors.
-#ifndef DAPPLETILLER_NET_LOOP_HPP_
-#define DAPPLETILLER_NET_LOOP_HPP_
+#ifndef DAPPLETILLER_IO_EVENT_LOOP_HPP_
+#define DAPPLETILLER_IO_EVENT_LOOP_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -9,7 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "net/types.hpp"
+#include "base/endpoint.hpp"
+#include "base/time.hpp"
 
 namespace dappletiller {
 
@@ -111,4 +112,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_LOOP_HPP_
+#endif  // DAPPLETILLER_IO_EVENT_LOOP_HPP_
--- a/src/net/log.cpp
+++ b/src/io/log.cpp
@@ -1,4 +1,4 @@
-#include "net/log.hpp"
+#include "io/log.hpp"
 
 #include <spdlog/details/null_mutex.h>
 #include <spdlog/pattern_formatter.h>
--- a/src/net/log.hpp
+++ b/src/io/log.hpp
@@ -1,15 +1,15 @@
 // The one function through which everything is logged; spdlog carries it out. Lines to a stream, at most
 // kBurst at once and kPerSecond over time; what was left out is counted in the next line. Guards against a
 // fault that repeats with every request filling the log and the processor.
-#ifndef DAPPLETILLER_NET_LOG_HPP_
-#define DAPPLETILLER_NET_LOG_HPP_
+#ifndef DAPPLETILLER_IO_LOG_HPP_
+#define DAPPLETILLER_IO_LOG_HPP_
 
 #include <cstdarg>
 #include <cstdio>
 #include <memory>
 #include <string>
 
-#include "net/types.hpp"
+#include "base/time.hpp"
 
 namespace spdlog {
 class logger;
@@ -54,4 +54,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_LOG_HPP_
+#endif  // DAPPLETILLER_IO_LOG_HPP_
--- a/src/net/channel.cpp
+++ b/src/io/stream_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/channel.hpp"
+#include "io/stream_socket.hpp"
 
 #include <linux/sockios.h>
 #include <netinet/in.h>
--- a/src/net/channel.hpp
+++ b/src/io/stream_socket.hpp
@@ -1,12 +1,13 @@
 // The thin driver between a socket and whoever speaks a protocol on it.
-#ifndef DAPPLETILLER_NET_CHANNEL_HPP_
-#define DAPPLETILLER_NET_CHANNEL_HPP_
+#ifndef DAPPLETILLER_IO_STREAM_SOCKET_HPP_
+#define DAPPLETILLER_IO_STREAM_SOCKET_HPP_
 
 #include <span>
 
-#include "net/http.hpp"
-#include "net/loop.hpp"
-#include "net/types.hpp"
+#include "base/endpoint.hpp"
+#include "base/time.hpp"
+#include "http/http.hpp"
+#include "io/event_loop.hpp"
 
 namespace dappletiller {
 
@@ -78,4 +79,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_CHANNEL_HPP_
+#endif  // DAPPLETILLER_IO_STREAM_SOCKET_HPP_
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -17,7 +17,7 @@
 using dappletiller::lab::PlayTrial;
 using dappletiller::lab::Trial;
 using dappletiller::lab::World;
-using dappletiller::membership::Micros;
+using dappletiller::Micros;
 using dappletiller::membership::State;
 
 constexpr Micros kStep = 50'000;
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -18,7 +18,6 @@
 
 namespace dappletiller::lab {
 
-using membership::Micros;
 
 struct Network {
   double loss = 0;      // of datagrams, each way
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-namespace dappletiller::membership {
+#include "base/time.hpp"
 
-using Micros = std::int64_t;
+namespace dappletiller::membership {
 
 constexpr std::uint32_t kProtocol = 1;
 constexpr std::size_t kLongestName = 64;
--- a/src/net/peers.cpp
+++ b/src/membership/transport/membership_transport.cpp
@@ -1,4 +1,4 @@
-#include "net/peers.hpp"
+#include "membership/transport/membership_transport.hpp"
 
 #include <arpa/inet.h>
 #include <json/json.h>
--- a/src/net/peers.hpp
+++ b/src/membership/transport/membership_transport.hpp
@@ -3,8 +3,8 @@
 // from outside is bounded: datagrams a round, streams at a time, bytes and time of each.
 //
 // Owns the view, the keeper and the holder. Lives on the loop; nothing here throws after Start.
-#ifndef DAPPLETILLER_NET_PEERS_HPP_
-#define DAPPLETILLER_NET_PEERS_HPP_
+#ifndef DAPPLETILLER_MEMBERSHIP_TRANSPORT_MEMBERSHIP_TRANSPORT_HPP_
+#define DAPPLETILLER_MEMBERSHIP_TRANSPORT_MEMBERSHIP_TRANSPORT_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -14,14 +14,14 @@
 #include <string>
 #include <vector>
 
-#include "limits/parts.hpp"
+#include "config/operator_file.hpp"
+#include "dispatch/types.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "io/stream_socket.hpp"
 #include "membership/codec.hpp"
 #include "membership/view.hpp"
-#include "net/channel.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/types.hpp"
-#include "operator/operator_file.hpp"
+#include "quota_lease/parts.hpp"
 
 namespace dappletiller {
 
@@ -116,4 +116,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_PEERS_HPP_
+#endif  // DAPPLETILLER_MEMBERSHIP_TRANSPORT_MEMBERSHIP_TRANSPORT_HPP_
--- a/src/cli/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,4 +1,4 @@
-#include "cli/proxy.hpp"
+#include "proxy/proxy.hpp"
 
 #include <sys/epoll.h>
 #include <sys/signalfd.h>
@@ -16,21 +16,21 @@
 #include <sstream>
 #include <string>
 
-#include "feed/in_force.hpp"
-#include "feed/values.hpp"
-#include "net/acceptor.hpp"
-#include "net/body_memory.hpp"
-#include "net/budget.hpp"
-#include "net/config.hpp"
-#include "net/console.hpp"
-#include "net/discovery.hpp"
-#include "net/gateway.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/peers.hpp"
-#include "net/settings_feed.hpp"
-#include "net/worker.hpp"
-#include "state/held_file.hpp"
+#include "admin/console.hpp"
+#include "config/platform_config.hpp"
+#include "config_feed/client/settings_feed.hpp"
+#include "config_feed/in_force.hpp"
+#include "config_feed/values.hpp"
+#include "discovery/discovery_client.hpp"
+#include "dispatch/request_dispatcher.hpp"
+#include "downstream/listener.hpp"
+#include "drain/held_file.hpp"
+#include "http/body_memory.hpp"
+#include "io/descriptor_limit.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "membership/transport/membership_transport.hpp"
+#include "upstream/upstream_pool.hpp"
 
 namespace dappletiller {
 namespace {
--- a/src/cli/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,6 +1,6 @@
 // One proxy, from its start to its end: reads the configuration, wires the parts together, handles signals.
-#ifndef DAPPLETILLER_CLI_PROXY_HPP_
-#define DAPPLETILLER_CLI_PROXY_HPP_
+#ifndef DAPPLETILLER_PROXY_PROXY_HPP_
+#define DAPPLETILLER_PROXY_PROXY_HPP_
 
 #include <string>
 
@@ -12,4 +12,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_CLI_PROXY_HPP_
+#endif  // DAPPLETILLER_PROXY_PROXY_HPP_
--- a/src/limits/parts.cpp
+++ b/src/quota_lease/parts.cpp
@@ -1,4 +1,4 @@
-#include "limits/parts.hpp"
+#include "quota_lease/parts.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/limits/parts.hpp
+++ b/src/quota_lease/parts.hpp
@@ -12,8 +12,8 @@
 //
 // Pure: time comes in, monotonic microseconds of one process; no two clocks are compared, but they are
 // taken to run at the same pace to within kDrift. Not thread-safe.
-#ifndef DAPPLETILLER_LIMITS_PARTS_HPP_
-#define DAPPLETILLER_LIMITS_PARTS_HPP_
+#ifndef DAPPLETILLER_QUOTA_LEASE_PARTS_HPP_
+#define DAPPLETILLER_QUOTA_LEASE_PARTS_HPP_
 
 #include <cstdint>
 #include <map>
@@ -22,9 +22,9 @@
 #include <string_view>
 #include <vector>
 
-namespace dappletiller::limits {
+#include "base/time.hpp"
 
-using Micros = std::int64_t;
+namespace dappletiller::limits {
 
 constexpr double kDrift = 0.02;              // two clocks may run so much apart, both ways together
 constexpr std::uint32_t kSlice = 1'000'000;  // a slice in the units of loans
@@ -115,4 +115,4 @@
 
 }  // namespace dappletiller::limits
 
-#endif  // DAPPLETILLER_LIMITS_PARTS_HPP_
+#endif  // DAPPLETILLER_QUOTA_LEASE_PARTS_HPP_
--- a/src/rig/fleet.hpp
+++ b/src/rig/fleet.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "io/event_loop.hpp"
 #include "membership/codec.hpp"
-#include "net/loop.hpp"
 #include "rig/ledger.hpp"
 #include "rig/links.hpp"
 #include "rig/process.hpp"
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -7,9 +7,9 @@
 #include <sstream>
 #include <utility>
 
-#include "feed/in_force.hpp"
-#include "feed/values.hpp"
-#include "limits/watch_times.hpp"
+#include "config_feed/in_force.hpp"
+#include "config_feed/values.hpp"
+#include "discovery/retry_schedule.hpp"
 
 namespace dappletiller::rig {
 namespace {
--- a/src/rig/hollow.hpp
+++ b/src/rig/hollow.hpp
@@ -19,13 +19,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/config.hpp"
-#include "net/discovery.hpp"
-#include "net/gateway.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
-#include "net/peers.hpp"
-#include "net/settings_feed.hpp"
+#include "config/platform_config.hpp"
+#include "config_feed/client/settings_feed.hpp"
+#include "discovery/discovery_client.hpp"
+#include "dispatch/request_dispatcher.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "membership/transport/membership_transport.hpp"
 
 namespace dappletiller::rig {
 
--- a/src/rig/ledger.hpp
+++ b/src/rig/ledger.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/types.hpp"
+#include "dispatch/types.hpp"
 
 namespace dappletiller::rig {
 
--- a/src/rig/links.hpp
+++ b/src/rig/links.hpp
@@ -18,8 +18,8 @@
 #include <utility>
 #include <vector>
 
-#include "net/channel.hpp"
-#include "net/loop.hpp"
+#include "io/event_loop.hpp"
+#include "io/stream_socket.hpp"
 
 namespace dappletiller::rig {
 
--- a/src/rig/main.cpp
+++ b/src/rig/main.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <string>
 
-#include "operator/section.hpp"
+#include "config/section.hpp"
 #include "rig/fleet.hpp"
 #include "rig/measure.hpp"
 #include "rig/scale.hpp"
--- a/src/rig/measure.cpp
+++ b/src/rig/measure.cpp
@@ -12,10 +12,10 @@
 #include <optional>
 #include <pcg_random.hpp>
 
-#include "net/config.hpp"
-#include "net/gateway.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
+#include "config/platform_config.hpp"
+#include "dispatch/request_dispatcher.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
 #include "rig/scale.hpp"
 
 namespace dappletiller::rig {
--- a/src/rig/process.hpp
+++ b/src/rig/process.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "net/loop.hpp"
+#include "io/event_loop.hpp"
 
 namespace dappletiller::rig {
 
--- a/src/rig/scale.hpp
+++ b/src/rig/scale.hpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
+#include "io/event_loop.hpp"
 #include "membership/codec.hpp"
-#include "net/loop.hpp"
 #include "rig/ledger.hpp"
 #include "rig/process.hpp"
 #include "rig/scale_script.hpp"
--- a/src/rig/scale_script.cpp
+++ b/src/rig/scale_script.cpp
@@ -7,7 +7,7 @@
 #include <pcg_random.hpp>
 #include <sstream>
 
-#include "operator/section.hpp"
+#include "config/section.hpp"
 
 namespace dappletiller::rig {
 namespace {
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <utility>
 
-#include "operator/section.hpp"
+#include "config/section.hpp"
 
 namespace dappletiller::rig {
 namespace {
--- a/src/rig/standins.hpp
+++ b/src/rig/standins.hpp
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "net/channel.hpp"
-#include "net/http.hpp"
-#include "net/loop.hpp"
+#include "http/http.hpp"
+#include "io/event_loop.hpp"
+#include "io/stream_socket.hpp"
 #include "rig/ledger.hpp"
 
 namespace dappletiller::rig {
--- a/src/agreement/rules.cpp
+++ b/src/rules/rules.cpp
@@ -1,4 +1,4 @@
-#include "agreement/rules.hpp"
+#include "rules/rules.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/agreement/rules.hpp
+++ b/src/rules/rules.hpp
@@ -6,8 +6,8 @@
 // is what makes a set possible that contradicts neither of two that contradict each other (Meet).
 //
 // docs/design/agreement.md has the cases, the proof of the bound that is built on this, and what is given up.
-#ifndef DAPPLETILLER_AGREEMENT_RULES_HPP_
-#define DAPPLETILLER_AGREEMENT_RULES_HPP_
+#ifndef DAPPLETILLER_RULES_RULES_HPP_
+#define DAPPLETILLER_RULES_RULES_HPP_
 
 #include <cstdint>
 #include <map>
@@ -69,4 +69,4 @@
 
 }  // namespace dappletiller::agreement
 
-#endif  // DAPPLETILLER_AGREEMENT_RULES_HPP_
+#endif  // DAPPLETILLER_RULES_RULES_HPP_
--- a/src/net/worker.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/worker.hpp"
+#include "upstream/upstream_pool.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/net/worker.hpp
+++ b/src/upstream/upstream_pool.hpp
@@ -1,17 +1,17 @@
 // Connections to workers over HTTP: a pool for each worker, one attempt at a time on each connection.
-#ifndef DAPPLETILLER_NET_WORKER_HPP_
-#define DAPPLETILLER_NET_WORKER_HPP_
+#ifndef DAPPLETILLER_UPSTREAM_UPSTREAM_POOL_HPP_
+#define DAPPLETILLER_UPSTREAM_UPSTREAM_POOL_HPP_
 
 #include <list>
 #include <memory>
 #include <unordered_map>
 
+#include "dispatch/request_dispatcher.hpp"
+#include "io/descriptor_limit.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "io/stream_socket.hpp"
 #include "limits/rest_record.hpp"
-#include "net/budget.hpp"
-#include "net/channel.hpp"
-#include "net/gateway.hpp"
-#include "net/log.hpp"
-#include "net/loop.hpp"
 
 namespace dappletiller {
 
@@ -73,4 +73,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_NET_WORKER_HPP_
+#endif  // DAPPLETILLER_UPSTREAM_UPSTREAM_POOL_HPP_
--- a/tests/net/console_test.cpp
+++ b/tests/admin/console_test.cpp
@@ -1,14 +1,14 @@
 // The operators' console: what a call asks for, workers held across discovery and processes, the lame duck,
 // and the platform's socket. Real sockets on loopback, bounded waits.
-#include "net/console.hpp"
+#include "admin/console.hpp"
 
 #include <string>
 #include <vector>
 
-#include "console/command.hpp"
-#include "maintenance/held.hpp"
-#include "state/held_file.hpp"
-#include "support.hpp"
+#include "admin/command.hpp"
+#include "drain/held.hpp"
+#include "drain/held_file.hpp"
+#include "net/support.hpp"
 
 namespace dappletiller::testing {
 namespace {
--- a/tests/operator/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -1,11 +1,11 @@
 // The operators' file: what is read, and that each mistake is told with file, line, key and remedy.
-#include "operator/operator_file.hpp"
+#include "config/operator_file.hpp"
 
 #include <doctest/doctest.h>
 
 #include <string>
 
-#include "operator/section.hpp"
+#include "config/section.hpp"
 #include "rig/script.hpp"
 
 namespace dappletiller::operators {
--- a/tests/feed/change_cost.cpp
+++ b/tests/config_feed/change_cost.cpp
@@ -8,12 +8,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "feed/follower.hpp"
-#include "feed/in_force.hpp"
-#include "feed/origin.hpp"
-#include "feed/page_json.hpp"
-#include "feed/values.hpp"
-#include "net/config.hpp"
+#include "config/platform_config.hpp"
+#include "config_feed/follower.hpp"
+#include "config_feed/in_force.hpp"
+#include "config_feed/origin.hpp"
+#include "config_feed/page_json.hpp"
+#include "config_feed/values.hpp"
 #include "sandstand/balancer.hpp"
 
 namespace dappletiller {
--- a/tests/feed/process_test.cpp
+++ b/tests/config_feed/process_test.cpp
@@ -19,10 +19,10 @@
 #include <thread>
 #include <vector>
 
-#include "feed/control_machine.hpp"
-#include "feed/page_json.hpp"
-#include "net/feed_server.hpp"
-#include "net/settings_feed.hpp"
+#include "config_feed/client/settings_feed.hpp"
+#include "config_feed/control_machine.hpp"
+#include "config_feed/page_json.hpp"
+#include "control_server/feed_server.hpp"
 
 namespace dappletiller {
 namespace {
--- a/tests/feed/store_test.cpp
+++ b/tests/config_feed/store_test.cpp
@@ -1,5 +1,5 @@
 // The settings feed's store, its text forms and the origin's file: by hand, no socket and no clock.
-#include "feed/store.hpp"
+#include "config_feed/store.hpp"
 
 #include <doctest/doctest.h>
 
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "feed/admission.hpp"
-#include "feed/in_force.hpp"
-#include "feed/origin.hpp"
-#include "feed/page_json.hpp"
+#include "config_feed/admission.hpp"
+#include "config_feed/in_force.hpp"
+#include "config_feed/origin.hpp"
+#include "config_feed/page_json.hpp"
 
 namespace dappletiller::feed {
 namespace {
--- a/tests/feed/world_test.cpp
+++ b/tests/config_feed/world_test.cpp
@@ -11,7 +11,7 @@
 #include <tuple>
 #include <vector>
 
-#include "feed/control_machine.hpp"
+#include "config_feed/control_machine.hpp"
 
 namespace dappletiller::feed {
 namespace {
--- a/tests/net/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "limits/watch_times.hpp"
-#include "support.hpp"
+#include "discovery/retry_schedule.hpp"
+#include "net/support.hpp"
 
 namespace dappletiller::testing {
 namespace {
--- a/tests/limits/watch_times_test.cpp
+++ b/tests/discovery/retry_schedule_test.cpp
@@ -1,6 +1,6 @@
 // The clock of asking discovery added up, for the shortest and longest times between calls that a site may
 // set, and played in simulated time by a fleet whose discovery has too many callers at once.
-#include "limits/watch_times.hpp"
+#include "discovery/retry_schedule.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/golden/console_golden_test.cpp
+++ b/tests/golden/console_golden_test.cpp
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "../net/program.hpp"
+#include "drain/held.hpp"
+#include "drain/held_file.hpp"
 #include "golden.hpp"
-#include "maintenance/held.hpp"
-#include "net/log.hpp"
-#include "net/peers.hpp"
-#include "state/held_file.hpp"
+#include "io/log.hpp"
+#include "membership/transport/membership_transport.hpp"
+#include "net/program.hpp"
 
 namespace dappletiller::testing {
 namespace {
--- a/tests/golden/feed_golden_test.cpp
+++ b/tests/golden/feed_golden_test.cpp
@@ -3,13 +3,13 @@
 #include <string>
 #include <vector>
 
-#include "../net/support.hpp"
-#include "feed/control_machine.hpp"
-#include "feed/origin.hpp"
-#include "feed/page_json.hpp"
+#include "config_feed/client/settings_feed.hpp"
+#include "config_feed/control_machine.hpp"
+#include "config_feed/origin.hpp"
+#include "config_feed/page_json.hpp"
+#include "control_server/feed_server.hpp"
 #include "golden.hpp"
-#include "net/feed_server.hpp"
-#include "net/settings_feed.hpp"
+#include "net/support.hpp"
 
 namespace dappletiller::testing {
 namespace {
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "golden.hpp"
-#include "limits/parts.hpp"
 #include "membership/codec.hpp"
 #include "membership/view.hpp"
+#include "quota_lease/parts.hpp"
 
 namespace dappletiller::membership {
 namespace {
--- a/tests/net/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "net/config.hpp"
-#include "net/http.hpp"
+#include "config/platform_config.hpp"
+#include "http/http.hpp"
 
 namespace dappletiller {
 namespace {
--- a/tests/net/deadline_test.cpp
+++ b/tests/net/deadline_test.cpp
@@ -1,7 +1,7 @@
 // A request is answered by its deadline, whatever else happens in the process around that moment.
 #include <string>
 
-#include "net/receive_times.hpp"
+#include "downstream/receive_times.hpp"
 #include "support.hpp"
 
 namespace dappletiller::testing {
--- a/tests/net/long_body_test.cpp
+++ b/tests/net/long_body_test.cpp
@@ -1,7 +1,7 @@
 // Bodies beyond the usual size pass whole while there is memory for them, and are refused when there is none.
 #include <string>
 
-#include "net/body_memory.hpp"
+#include "http/body_memory.hpp"
 #include "support.hpp"
 
 namespace dappletiller::testing {
--- a/tests/net/support.hpp
+++ b/tests/net/support.hpp
@@ -15,10 +15,10 @@
 #include <utility>
 #include <vector>
 
-#include "net/acceptor.hpp"
-#include "net/discovery.hpp"
-#include "net/gateway.hpp"
-#include "net/worker.hpp"
+#include "discovery/discovery_client.hpp"
+#include "dispatch/request_dispatcher.hpp"
+#include "downstream/listener.hpp"
+#include "upstream/upstream_pool.hpp"
 
 namespace dappletiller::testing {
 
--- a/tests/limits/parts_test.cpp
+++ b/tests/quota_lease/parts_test.cpp
@@ -1,6 +1,6 @@
 // Parts of a whole: in a small world with loss, delay, reordering, pauses, restarts, cuts and clocks that run
 // apart, the parts in use never pass the whole. The last cases break one assumption each and are found.
-#include "limits/parts.hpp"
+#include "quota_lease/parts.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/rig/scale_script_test.cpp
+++ b/tests/rig/scale_script_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <map>
 
-#include "operator/section.hpp"
+#include "config/section.hpp"
 
 namespace dappletiller::rig {
 namespace {
--- a/tests/agreement/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -1,5 +1,5 @@
 // What contradicts what, and the meet's properties on random rules.
-#include "agreement/rules.hpp"
+#include "rules/rules.hpp"
 
 #include <doctest/doctest.h>
 
