--- a/src/admin/console.cpp
+++ b/src/admin/console.cpp
@@ -5,49 +5,57 @@
 #include <cerrno>
 #include <system_error>
 
-#include "http/http.hpp"
+#include "http/parser.hpp"
+#include "http/writer.hpp"
 #include "io/stream_socket.hpp"
 
 namespace dappletiller {
+namespace {
 
-class Console::Conn final : public Channel::Owner {
+constexpr int kBacklog = 64;
+
+}  // namespace
+
+class Console::Conn final : public StreamSocket::Callbacks {
  public:
   Conn(Console& console, std::uint64_t id)
-      : channel(console.loop_, *this), console_(console), id_(id), timer_(console.loop_) {
+      : socket(console.loop_, *this), console_(console), id_(id), timer_(console.loop_) {
     timer_.Set(kCallTime, [this] { Finish(408, "the call took too long to arrive"); });
   }
 
-  std::span<char> Room() override { return answered_ ? std::span<char>(sink_) : parser_.Room(); }
+  std::span<char> ReceiveBuffer() override {
+    return answered_ ? std::span<char>(sink_) : parser_.ReceiveBuffer();
+  }
 
-  void OnBytes(std::size_t n) override {
+  void OnReceived(std::size_t n) override {
     if (answered_) return;
-    parser_.Got(n);
+    parser_.Commit(n);
     if (parser_.bad()) return Finish(parser_.error_status(), "the call is malformed or too large");
     if (parser_.wants_continue()) parser_.continued();  // the body is not read: no console call has one
     if (!parser_.done()) return;
-    http::MessageRef request = parser_.Take();
+    http::MessageRef request = parser_.TakeMessage();
     console::Command command = console::Read(request->method(), request->target());
     if (command.status != 0) return Finish(command.status, command.reason);
     ConsoleReply reply = console_.handler_.Do(command);
     Finish(reply.status, reply.text, reply.type);
   }
 
-  void OnWritten() override {
+  void OnFlushed() override {
     if (answered_) console_.Drop(id_);
   }
-  void OnGone(StreamEnd) override { console_.Drop(id_); }
+  void OnClosed(StreamEnd) override { console_.Drop(id_); }
 
-  Channel channel;
+  StreamSocket socket;
 
  private:
   void Finish(int status, std::string_view text, std::string_view type = "text/plain") {
     if (answered_) return;
     answered_ = true;
     if (status >= 400) {
-      console_.log_.Line("console: %d: %.*s", status, static_cast<int>(text.size()), text.data());
+      console_.log_.Info("console: %d: %.*s", status, static_cast<int>(text.size()), text.data());
     }
-    http::WriteStatus(status, text, 0, false, &channel.out(), type);
-    channel.Flush();
+    http::WriteStatusResponse(status, text, 0, false, &socket.output(), type);
+    socket.Flush();
     // A caller that doesn't read its answer is not waited for.
     timer_.Set(kCallTime, [this] { console_.Drop(id_); });
   }
@@ -60,21 +68,24 @@
   bool answered_ = false;
 };
 
-Console::Console(Loop& loop, Log& log, ConsoleHandler& handler) : loop_(loop), log_(log), handler_(handler) {}
+Console::Console(EventLoop& loop, Log& log, ConsoleHandler& handler)
+    : loop_(loop), log_(log), handler_(handler) {}
 
 Console::~Console() {
-  if (listener_) loop_.Forget(token_, listener_.get());
+  if (listener_) loop_.Unwatch(token_, listener_.get());
 }
 
 void Console::Listen(const Endpoint& where) {
-  listener_ = ListenOn(where, 64, "console", &port_);
+  BoundSocket bound = BindTcpListener(where, kBacklog, "console");
+  listener_ = std::move(bound.fd);
+  port_ = bound.port;
   token_ = loop_.Watch(listener_.get(), this);
   if (token_ == 0) throw std::system_error(errno, std::generic_category(), "console: epoll_ctl");
 }
 
 void Console::OnReady(std::uint32_t) {
   for (;;) {
-    Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
       return;  // EAGAIN, or no descriptor: the caller's connection waits in the kernel for its next edge
@@ -84,7 +95,7 @@
     auto conn = std::make_unique<Conn>(*this, ++ids_);
     Conn& begun = *conn;
     conns_[ids_] = std::move(conn);
-    if (!begun.channel.Adopt(std::move(fd))) Drop(ids_);
+    if (!begun.socket.Adopt(std::move(fd))) Drop(ids_);
   }
 }
 
@@ -93,8 +104,8 @@
   if (it == conns_.end()) return;
   std::unique_ptr<Conn> owned = std::move(it->second);
   conns_.erase(it);
-  owned->channel.Close();
-  loop_.Dispose(std::move(owned));
+  owned->socket.Close();
+  loop_.DeferDelete(std::move(owned));
 }
 
 }  // namespace dappletiller
--- a/src/admin/console.hpp
+++ b/src/admin/console.hpp
@@ -31,12 +31,12 @@
   ~ConsoleHandler() = default;
 };
 
-class Console final : private EventSink {
+class Console final : private EventHandler {
  public:
   static constexpr Micros kCallTime = 900'000;    // a caller waits 1 s at most
   static constexpr std::size_t kMostCallers = 8;  // of the descriptors that the process keeps for itself
 
-  Console(Loop& loop, Log& log, ConsoleHandler& handler);
+  Console(EventLoop& loop, Log& log, ConsoleHandler& handler);
   ~Console();
   void Listen(const Endpoint& where);  // throws std::system_error
   std::uint16_t port() const { return port_; }
@@ -47,11 +47,11 @@
   void OnReady(std::uint32_t events) override;
   void Drop(std::uint64_t id);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   ConsoleHandler& handler_;
-  Fd listener_;
-  Loop::Token token_ = 0;
+  FileDescriptor listener_;
+  EventLoop::WatchId token_ = 0;
   std::uint16_t port_ = 0;
   std::uint64_t ids_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Conn>> conns_;  // oldest first
--- a/src/base/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -4,25 +4,53 @@
 #include <system_error>
 
 namespace dappletiller {
+namespace {
+
+constexpr int kAddressBytes = 4;
+constexpr unsigned kMaxByte = 255;
+constexpr unsigned kMaxPort = 65535;
+
+// Takes a decimal number of at most `max`, and `end_mark` behind it, off the front of `text`.
+std::optional<unsigned> TakeNumber(unsigned max, char end_mark, std::string_view* text) {
+  unsigned value = 0;
+  const char* end = text->data() + text->size();
+  const auto [next, error] = std::from_chars(text->data(), end, value);
+  if (error != std::errc() || value > max || next == end || *next != end_mark) return std::nullopt;
+  text->remove_prefix(static_cast<std::size_t>(next - text->data()) + 1);
+  return value;
+}
+
+std::optional<unsigned> ParsePort(std::string_view text) {
+  unsigned value = 0;
+  const char* end = text.data() + text.size();
+  const auto [next, error] = std::from_chars(text.data(), end, value);
+  if (error != std::errc() || value > kMaxPort || next != end) return std::nullopt;
+  return value;
+}
+
+}  // namespace
 
 std::optional<Endpoint> ParseEndpoint(std::string_view text) {
   Endpoint endpoint;
-  const char* end = text.data() + text.size();
-  const char* at = text.data();
-  for (int i = 0; i < 5; ++i) {
-    unsigned value = 0;
-    auto [next, failed] = std::from_chars(at, end, value);
-    if (failed != std::errc() || value > (i == 4 ? 65535u : 255u)) return std::nullopt;
-    if (i == 4) {
-      if (next != end) return std::nullopt;
-      endpoint.port = static_cast<std::uint16_t>(value);
-      break;
-    }
-    endpoint.address = endpoint.address << 8 | value;
-    if (next == end || *next != (i == 3 ? ':' : '.')) return std::nullopt;
-    at = next + 1;
+  for (int i = 0; i < kAddressBytes; ++i) {
+    const char end_mark = i + 1 < kAddressBytes ? '.' : ':';
+    const auto byte = TakeNumber(kMaxByte, end_mark, &text);
+    if (!byte) return std::nullopt;
+    endpoint.address = endpoint.address << 8 | *byte;
   }
+  const auto port = ParsePort(text);
+  if (!port) return std::nullopt;
+  endpoint.port = static_cast<std::uint16_t>(*port);
   return endpoint;
 }
 
+std::string ToString(const Endpoint& endpoint) {
+  std::string text;
+  for (int shift = 24; shift >= 0; shift -= 8) {
+    text += std::to_string(endpoint.address >> shift & kMaxByte);
+    text += shift > 0 ? '.' : ':';
+  }
+  return text + std::to_string(endpoint.port);
+}
+
 }  // namespace dappletiller
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -4,6 +4,7 @@
 
 #include <cstdint>
 #include <optional>
+#include <string>
 #include <string_view>
 
 namespace dappletiller {
@@ -17,6 +18,8 @@
 
 // Reads "a.b.c.d:port" in decimal; nothing if the text is anything else.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
+// Writes "a.b.c.d:port".
+std::string ToString(const Endpoint& endpoint);
 
 }  // namespace dappletiller
 
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -16,7 +16,7 @@
 #include "config/operator_file.hpp"
 #include "config/section.hpp"
 #include "control_server/control_server.hpp"
-#include "http/http.hpp"
+#include "http/message.hpp"
 #include "io/event_loop.hpp"
 #include "membership/codec.hpp"
 #include "proxy/proxy.hpp"
@@ -36,7 +36,7 @@
 Answer Call(const std::string& where, const std::string& method, const std::string& target) {
   auto endpoint = ParseEndpoint(where);
   if (!endpoint) return {};
-  Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   timeval patience{kPatience, 0};
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
--- a/src/config_feed/client/settings_feed.cpp
+++ b/src/config_feed/client/settings_feed.cpp
@@ -6,11 +6,13 @@
 #include <utility>
 
 #include "config_feed/page_json.hpp"
+#include "http/parser.hpp"
+#include "io/output_buffer.hpp"
 
 namespace dappletiller {
 namespace {
 
-// "0.250", as http::WriteStatus writes it; 0 for what is none.
+// "0.250", as http::WriteStatusResponse writes it; 0 for what is none.
 Micros ReadRetryAfter(std::optional<std::string_view> text) {
   double seconds = 0;
   if (!text) return 0;
@@ -21,14 +23,14 @@
 
 }  // namespace
 
-SettingsFeed::SettingsFeed(Loop& loop, Log& log, feed::Follower& follower, std::string self,
+SettingsFeed::SettingsFeed(EventLoop& loop, Log& log, feed::Follower& follower, std::string self,
                            SettingsSink& sink)
     : loop_(loop),
       log_(log),
       follower_(follower),
       self_(std::move(self)),
       sink_(sink),
-      channel_(loop, *this),
+      socket_(loop, *this),
       next_(loop),
       limit_(loop) {}
 
@@ -38,7 +40,7 @@
   follower_.Void(loop_.Now());
   asking_ = false;
   limit_.Clear();
-  channel_.Close();
+  socket_.Close();
   Later();
 }
 
@@ -58,13 +60,13 @@
   asking_ = true;
   answer_bytes_ = 0;
   ++tally_.questions;
-  if (channel_.open() && (connected_to_ != ask->machine || channel_.Stale())) channel_.Close();
-  if (!channel_.open()) {
+  if (socket_.open() && (connected_to_ != ask->machine || socket_.IsStale())) socket_.Close();
+  if (!socket_.open()) {
     parser_ = http::Parser(http::Parser::Kind::kResponse);
-    channel_.out() = http::Outbox();
+    socket_.output() = OutputBuffer();
     connected_to_ = ask->machine;
     auto where = ParseEndpoint(ask->machine);
-    if (!where || !channel_.Connect(*where)) {
+    if (!where || !socket_.Connect(*where)) {
       next_.Set(0, [this] { Failed("cannot connect"); });
       return;
     }
@@ -72,30 +74,30 @@
   std::string text = "GET " + feed::WriteQuestion({self_, ask->question, ask->wait / 1000}) +
                      " HTTP/1.1\r\nHost: " + ask->machine + "\r\n\r\n";
   tally_.bytes_out += text.size();
-  channel_.out().AddOwned(std::move(text));
+  socket_.output().AppendOwned(std::move(text));
   limit_.Set(ask->within, [this] { Failed("no answer"); });
-  channel_.Flush();
+  socket_.Flush();
 }
 
-void SettingsFeed::OnBytes(std::size_t n) {
+void SettingsFeed::OnReceived(std::size_t n) {
   tally_.bytes_in += n;
   answer_bytes_ += n;
-  parser_.Got(n);
+  parser_.Commit(n);
   if (parser_.bad() || !asking_) {
-    channel_.Close();
+    socket_.Close();
     if (asking_) Failed("malformed answer");
     return;
   }
   if (!parser_.done()) return;
-  http::MessageRef answer = parser_.Take();
-  if (!answer->keep_alive()) channel_.Close();
+  http::MessageRef answer = parser_.TakeMessage();
+  if (!answer->keep_alive()) socket_.Close();
   asking_ = false;
   limit_.Clear();
   Answered(*answer);
 }
 
 // Every answer says its length: one that ends with its connection is cut short.
-void SettingsFeed::OnGone(StreamEnd) {
+void SettingsFeed::OnClosed(StreamEnd) {
   if (asking_) Failed("connection lost");
 }
 
@@ -108,7 +110,7 @@
   }
   if (answer.status() == 409) {
     if (!follower_.looks_round())
-      log_.Line("settings feed: %s is behind serial %llu, another is asked", connected_to_.c_str(),
+      log_.Info("settings feed: %s is behind serial %llu, another is asked", connected_to_.c_str(),
                 static_cast<unsigned long long>(follower_.held().head().serial));
     follower_.Behind(now);
     return Later();
@@ -120,22 +122,22 @@
   feed::Identity before = follower_.held().head();
   std::vector<feed::Change> changes = follower_.Answered(now, *page, answer_bytes_);
   if (follower_.failures() > 0) {
-    log_.Line("settings feed: %s tells what doesn't follow on serial %llu; not taken", connected_to_.c_str(),
+    log_.Info("settings feed: %s tells what doesn't follow on serial %llu; not taken", connected_to_.c_str(),
               static_cast<unsigned long long>(before.serial));
     ++tally_.failures;
     return Later();
   }
   if (std::exchange(told_alone_, false)) {
-    log_.Always("settings feed: %s answers again after %d failures", connected_to_.c_str(), failures);
+    log_.Important("settings feed: %s answers again after %d failures", connected_to_.c_str(), failures);
   }
   changed_ += changes.size();
   tally_.changes += changes.size();
   if (!changes.empty() || !(follower_.held().head() == before)) sink_.SettingsChanged(changes);
   if (follower_.held().head().serial != told_serial_) {
     told_serial_ = follower_.held().head().serial;
-    log_.Always("settings feed: serial %llu in force from %s, %zu entries changed, %zu held",
-                static_cast<unsigned long long>(told_serial_), connected_to_.c_str(),
-                std::exchange(changed_, 0), follower_.held().size());
+    log_.Important("settings feed: serial %llu in force from %s, %zu entries changed, %zu held",
+                   static_cast<unsigned long long>(told_serial_), connected_to_.c_str(),
+                   std::exchange(changed_, 0), follower_.held().size());
   }
   Later();
 }
@@ -143,15 +145,15 @@
 void SettingsFeed::Failed(const char* why) {
   asking_ = false;
   limit_.Clear();
-  channel_.Close();
+  socket_.Close();
   ++tally_.failures;
   follower_.Failed(loop_.Now());
   int failures = follower_.failures();
   int all = static_cast<int>(follower_.machines());
-  if (failures <= all) log_.Line("settings feed: %s failed: %s", connected_to_.c_str(), why);
+  if (failures <= all) log_.Info("settings feed: %s failed: %s", connected_to_.c_str(), why);
   if (failures == all && !std::exchange(told_alone_, true)) {
-    log_.At(Log::Level::kWarn, "settings feed: no control machine answers; serial %llu stays in force",
-            static_cast<unsigned long long>(follower_.held().head().serial));
+    log_.Write(Log::Level::kWarn, "settings feed: no control machine answers; serial %llu stays in force",
+               static_cast<unsigned long long>(follower_.held().head().serial));
   }
   Later();
 }
--- a/src/config_feed/client/settings_feed.hpp
+++ b/src/config_feed/client/settings_feed.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "config_feed/follower.hpp"
+#include "http/parser.hpp"
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
 #include "io/stream_socket.hpp"
@@ -25,7 +26,7 @@
   ~SettingsSink() = default;
 };
 
-class SettingsFeed final : private Channel::Owner {
+class SettingsFeed final : private StreamSocket::Callbacks {
  public:
   struct Tally {
     std::uint64_t questions = 0, failures = 0, busy = 0;
@@ -34,7 +35,7 @@
   };
 
   // All must outlive it. `self` names it to the machines; printable, without separators.
-  SettingsFeed(Loop& loop, Log& log, feed::Follower& follower, std::string self, SettingsSink& sink);
+  SettingsFeed(EventLoop& loop, Log& log, feed::Follower& follower, std::string self, SettingsSink& sink);
   void Start();
   // After SetScope, SetMachines or Publish of the follower: the question that is out is given up, and asked
   // anew.
@@ -45,20 +46,20 @@
   std::string Json() const;
 
  private:
-  std::span<char> Room() override { return parser_.Room(); }
-  void OnBytes(std::size_t n) override;
-  void OnGone(StreamEnd how) override;
+  std::span<char> ReceiveBuffer() override { return parser_.ReceiveBuffer(); }
+  void OnReceived(std::size_t n) override;
+  void OnClosed(StreamEnd how) override;
   void Ask();
   void Answered(const http::Message& answer);
   void Failed(const char* why);
   void Later();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   feed::Follower& follower_;
   std::string self_;
   SettingsSink& sink_;
-  Channel channel_;
+  StreamSocket socket_;
   http::Parser parser_{http::Parser::Kind::kResponse};
   Timer next_;
   Timer limit_;
--- a/src/control_server/control_server.cpp
+++ b/src/control_server/control_server.cpp
@@ -35,7 +35,7 @@
   return set;
 }
 
-feed::FollowerOptions Following(const operators::ControlOptions& options, const Loop& loop) {
+feed::FollowerOptions Following(const operators::ControlOptions& options, const EventLoop& loop) {
   feed::FollowerOptions following;
   following.self = options.name;
   following.others = options.others;
@@ -43,7 +43,7 @@
   return following;
 }
 
-class Machine final : private EventSink, private SettingsSink {
+class Machine final : private EventHandler, private SettingsSink {
  public:
   Machine(Log& log, const operators::ControlOptions& options)
       : log_(log),
@@ -58,15 +58,15 @@
 
   void Run() {
     sigset_t set = OurSignals();
-    signals_ = Fd(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    signals_ = FileDescriptor(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     loop_.Watch(signals_.get(), this);
     server_.Listen(options_.bind);
-    log_.Always("control on port %u as %s%s", server_.port(), options_.name.c_str(),
-                origin_ ? (", origin of " + options_.origin).c_str() : "");
+    log_.Important("control on port %u as %s%s", server_.port(), options_.name.c_str(),
+                   origin_ ? (", origin of " + options_.origin).c_str() : "");
     feed_.Start();
     if (origin_) Look(true);
     loop_.Run();
-    log_.Always("stopped");
+    log_.Important("stopped");
   }
 
  private:
@@ -99,15 +99,15 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file) {
-      log_.At(Log::Level::kWarn, "origin: %s: cannot be read; serial %llu stays", options_.origin.c_str(),
-              Serial());
+      log_.Write(Log::Level::kWarn, "origin: %s: cannot be read; serial %llu stays", options_.origin.c_str(),
+                 Serial());
       return;
     }
     try {
       feed::Origin::Reading reading = origin_->Read(text.str());
       fresh_ = std::move(reading.changes);
     } catch (const feed::OriginError& e) {
-      log_.At(Log::Level::kWarn, "origin: %s; serial %llu stays", e.what(), Serial());
+      log_.Write(Log::Level::kWarn, "origin: %s; serial %llu stays", e.what(), Serial());
       return;
     }
     Publish();
@@ -134,23 +134,23 @@
     skipped_ = published != Published::kDone && published != Published::kAlready;
     unsigned long long serial = origin_->serial();
     if (published == Published::kDone) {
-      log_.Line("origin: serial %llu published, %zu entries changed, %zu in all", serial, count,
+      log_.Info("origin: serial %llu published, %zu entries changed, %zu in all", serial, count,
                 machine_.store().size());
       feed_.Renew();
       server_.Changed(touched);
     } else if (published == Published::kAlready && held != 0) {
-      log_.Line("origin: serial %llu is what all hold", serial);
+      log_.Info("origin: serial %llu is what all hold", serial);
     } else if (published == Published::kOld) {
-      log_.At(
+      log_.Write(
           Log::Level::kWarn,
           "origin: %s: serial %llu is below the fleet's, %llu: this machine follows; bring the file up to "
           "date and raise it",
           options_.origin.c_str(), serial, static_cast<unsigned long long>(held));
     } else if (published == Published::kDiffers) {
-      log_.At(Log::Level::kWarn,
-              "origin: %s: serial %llu is in force with other entries: this machine follows; raise it if "
-              "this file is the right one",
-              options_.origin.c_str(), serial);
+      log_.Write(Log::Level::kWarn,
+                 "origin: %s: serial %llu is in force with other entries: this machine follows; raise it if "
+                 "this file is the right one",
+                 options_.origin.c_str(), serial);
     }
   }
 
@@ -158,7 +158,7 @@
 
   Log& log_;
   operators::ControlOptions options_;
-  Loop loop_;
+  EventLoop loop_;
   feed::ControlMachine machine_;
   FeedServer server_;
   SettingsFeed feed_;
@@ -168,7 +168,7 @@
   Stamp stamp_;
   Timer look_;
   Timer publish_;
-  Fd signals_;
+  FileDescriptor signals_;
 };
 
 // Each follower holds a connection here.
@@ -191,16 +191,16 @@
     if (!file.control)
       throw operators::OperatorError(operator_path +
                                      ":1: control: is missing; add [control] with name and bind");
-    log.Shape(file.log_json, Log::ParseLevel(file.log_level));
+    log.Configure(file.log_json ? Log::Format::kJson : Log::Format::kText, Log::ParseLevel(file.log_level));
     RaiseDescriptors();
     Machine machine(log, *file.control);
     machine.Run();
     return 0;
   } catch (const operators::OperatorError& e) {
-    log.Line("cannot start: %s", e.what());
+    log.Info("cannot start: %s", e.what());
     return 2;
   } catch (const std::exception& e) {
-    log.Line("cannot start: %s", e.what());
+    log.Info("cannot start: %s", e.what());
     return 1;
   }
 }
--- a/src/control_server/feed_server.cpp
+++ b/src/control_server/feed_server.cpp
@@ -12,7 +12,8 @@
 #include <vector>
 
 #include "config_feed/page_json.hpp"
-#include "http/http.hpp"
+#include "http/parser.hpp"
+#include "http/writer.hpp"
 #include "io/stream_socket.hpp"
 
 namespace dappletiller {
@@ -23,31 +24,31 @@
 
 }  // namespace
 
-class FeedServer::Conn final : public Channel::Owner {
+class FeedServer::Conn final : public StreamSocket::Callbacks {
  public:
   Conn(FeedServer& server, std::uint64_t id)
-      : channel(server.loop_, *this), server_(server), id_(id), timer_(server.loop_) {
+      : socket(server.loop_, *this), server_(server), id_(id), timer_(server.loop_) {
     Rest();
   }
 
-  std::span<char> Room() override {
-    std::span<char> room = parser_.Room();
+  std::span<char> ReceiveBuffer() override {
+    std::span<char> room = parser_.ReceiveBuffer();
     return room.empty() ? std::span<char>(sink_) : room;  // to hear the end of one that waits
   }
-  void OnBytes(std::size_t n) override {
+  void OnReceived(std::size_t n) override {
     if (parser_.done() || parser_.bad()) return;  // nobody asks ahead; what comes is read away
-    parser_.Got(n);
+    parser_.Commit(n);
     if (parser_.bad()) return Say(parser_.error_status(), "the question is malformed or too large", 0, false);
     if (!parser_.done() || waiting_ || writing_) return;
     Take();
   }
-  void OnWritten() override {
+  void OnFlushed() override {
     if (!std::exchange(writing_, false)) return;
     if (!keep_) return server_.Drop(id_);
     Rest();
     if (parser_.done()) Take();
   }
-  void OnGone(StreamEnd) override { server_.Drop(id_); }
+  void OnClosed(StreamEnd) override { server_.Drop(id_); }
 
   // Something has changed: only what is in its scope is news to it.
   void Wake(const std::set<std::string, std::less<>>& services) {
@@ -58,7 +59,7 @@
     if (waiting_ && news) Tell(true);
   }
 
-  Channel channel;
+  StreamSocket socket;
 
  private:
   void Rest() {
@@ -66,7 +67,7 @@
   }
 
   void Take() {
-    http::MessageRef request = parser_.Take();
+    http::MessageRef request = parser_.TakeMessage();
     keep_ = request->keep_alive();
     if (request->method() != "GET") return Say(405, "GET only", 0, false);
     auto asked = feed::ReadQuestion(request->target());
@@ -101,8 +102,8 @@
     writing_ = true;
     server_.bytes_ += text.size();
     timer_.Set(kIdleTime, [this] { server_.Drop(id_); });
-    http::WriteStatus(status, text, retry_after, keep, &channel.out(), type);
-    channel.Flush();
+    http::WriteStatusResponse(status, text, retry_after, keep, &socket.output(), type);
+    socket.Flush();
   }
 
   FeedServer& server_;
@@ -117,15 +118,17 @@
   bool writing_ = false;
 };
 
-FeedServer::FeedServer(Loop& loop, Log& log, feed::ControlMachine& machine)
+FeedServer::FeedServer(EventLoop& loop, Log& log, feed::ControlMachine& machine)
     : loop_(loop), log_(log), machine_(machine), pause_(loop) {}
 
 FeedServer::~FeedServer() {
-  if (listener_) loop_.Forget(token_, listener_.get());
+  if (listener_) loop_.Unwatch(token_, listener_.get());
 }
 
 void FeedServer::Listen(const Endpoint& where) {
-  listener_ = ListenOn(where, SOMAXCONN, "control bind", &port_);
+  BoundSocket bound = BindTcpListener(where, SOMAXCONN, "control bind");
+  listener_ = std::move(bound.fd);
+  port_ = bound.port;
   token_ = loop_.Watch(listener_.get(), this);
   if (token_ == 0) throw std::system_error(errno, std::generic_category(), "control bind: epoll_ctl");
 }
@@ -142,24 +145,24 @@
 
 void FeedServer::Accept() {
   for (int i = 0;; ++i) {
-    if (i == kAcceptsAtOnce) return loop_.Again(token_, EPOLLIN);
-    Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (i == kAcceptsAtOnce) return loop_.NotifyAgain(token_, EPOLLIN);
+    FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-      log_.Line("control: accept failed: %s", std::strerror(errno));
+      log_.Info("control: accept failed: %s", std::strerror(errno));
       pause_.Set(kRetryAccept, [this] { Accept(); });
       return;
     }
     if (conns_.size() >= kMostConnections) {
-      log_.Line("control: %zu followers are connected, a new one is turned away", conns_.size());
+      log_.Info("control: %zu followers are connected, a new one is turned away", conns_.size());
       continue;
     }
     auto conn = std::make_unique<Conn>(*this, ++ids_);
     Conn& begun = *conn;
     std::uint64_t id = ids_;
     conns_[id] = std::move(conn);
-    if (!begun.channel.Adopt(std::move(fd))) Drop(id);
+    if (!begun.socket.Adopt(std::move(fd))) Drop(id);
   }
 }
 
@@ -169,8 +172,8 @@
   std::unique_ptr<Conn> owned = std::move(it->second);
   conns_.erase(it);
   waiting_.erase(id);
-  owned->channel.Close();
-  loop_.Dispose(std::move(owned));
+  owned->socket.Close();
+  loop_.DeferDelete(std::move(owned));
 }
 
 }  // namespace dappletiller
--- a/src/control_server/feed_server.hpp
+++ b/src/control_server/feed_server.hpp
@@ -16,12 +16,12 @@
 
 namespace dappletiller {
 
-class FeedServer final : private EventSink {
+class FeedServer final : private EventHandler {
  public:
   static constexpr Micros kIdleTime = 60'000'000;  // without a question, or for one to come whole
   static constexpr std::size_t kMostConnections = 4'096;
 
-  FeedServer(Loop& loop, Log& log, feed::ControlMachine& machine);
+  FeedServer(EventLoop& loop, Log& log, feed::ControlMachine& machine);
   ~FeedServer();
   void Listen(const Endpoint& where);  // throws std::system_error
   std::uint16_t port() const { return port_; }
@@ -37,11 +37,11 @@
   void Accept();
   void Drop(std::uint64_t id);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   feed::ControlMachine& machine_;
-  Fd listener_;
-  Loop::Token token_ = 0;
+  FileDescriptor listener_;
+  EventLoop::WatchId token_ = 0;
   std::uint16_t port_ = 0;
   Timer pause_;  // after accept failed for want of descriptors
   std::uint64_t ids_ = 0;
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -3,6 +3,8 @@
 #include <utility>
 
 #include "discovery/retry_schedule.hpp"
+#include "http/parser.hpp"
+#include "io/output_buffer.hpp"
 
 namespace dappletiller {
 namespace {
@@ -16,41 +18,42 @@
 }  // namespace
 
 // One connection to discovery with at most one question out on it.
-class Discovery::Asker final : public Channel::Owner {
+class Discovery::Asker final : public StreamSocket::Callbacks {
  public:
   Asker(Discovery& discovery, bool watch)
-      : watch(watch), channel(discovery.loop_, *this), timer(discovery.loop_), discovery_(discovery) {}
+      : watch(watch), socket(discovery.loop_, *this), timer(discovery.loop_), discovery_(discovery) {}
 
   void Ask(const std::string& target, Micros wait, Micros within) {
     asking = true;
     waits = wait > 0;
     asked_at = discovery_.loop_.Now();
-    if (channel.open() && channel.Stale()) channel.Close();
-    if (!channel.open()) {
-      parser_ = http::Parser(http::Parser::Kind::kResponse, http::kListLimit);
-      channel.out() = http::Outbox();
-      if (!channel.Connect(discovery_.options_.where)) {
+    if (socket.open() && socket.IsStale()) socket.Close();
+    if (!socket.open()) {
+      parser_ = http::Parser(http::Parser::Kind::kResponse, http::kMaxEndpointListSize);
+      socket.output() = OutputBuffer();
+      if (!socket.Connect(discovery_.options_.where)) {
         // Not from within the module's own call: it is told in the next round.
         timer.Set(0, [this] { discovery_.Failed(*this, "cannot connect"); });
         return;
       }
     }
-    channel.out().AddOwned("GET " + target + " HTTP/1.1\r\nHost: " + discovery_.options_.host + "\r\n\r\n");
-    channel.Flush();
+    socket.output().AppendOwned("GET " + target + " HTTP/1.1\r\nHost: " + discovery_.options_.host +
+                                "\r\n\r\n");
+    socket.Flush();
     if (!asking) return;
     timer.Set(within, [this] {
-      channel.Close();
+      socket.Close();
       discovery_.Silent(*this);
     });
   }
 
-  std::span<char> Room() override { return parser_.Room(); }
-  void OnBytes(std::size_t n) override {
-    parser_.Got(n);
+  std::span<char> ReceiveBuffer() override { return parser_.ReceiveBuffer(); }
+  void OnReceived(std::size_t n) override {
+    parser_.Commit(n);
     Look();
   }
-  void OnGone(StreamEnd how) override {
-    if (how == StreamEnd::kOrderly) parser_.Ended();
+  void OnClosed(StreamEnd how) override {
+    if (how == StreamEnd::kOrderly) parser_.OnStreamEnd();
     if (asking && parser_.done()) return Look();
     if (asking) discovery_.Failed(*this, "connection lost");
   }
@@ -59,29 +62,29 @@
   bool asking = false;
   bool waits = false;   // the question out is one that may wait at discovery
   Micros asked_at = 0;  // on the loop's clock
-  Channel channel;
+  StreamSocket socket;
   Timer timer;
 
  private:
   void Look() {
     if (parser_.bad() || !asking) {
-      channel.Close();
+      socket.Close();
       if (asking) discovery_.Failed(*this, "malformed answer");
       return;
     }
     if (!parser_.done()) return;
-    http::MessageRef answer = parser_.Take();
+    http::MessageRef answer = parser_.TakeMessage();
     asking = false;
     timer.Clear();
-    if (!answer->keep_alive()) channel.Close();
+    if (!answer->keep_alive()) socket.Close();
     discovery_.Answered(*this, *answer);
   }
 
   Discovery& discovery_;
-  http::Parser parser_{http::Parser::Kind::kResponse, http::kListLimit};
+  http::Parser parser_{http::Parser::Kind::kResponse, http::kMaxEndpointListSize};
 };
 
-Discovery::Discovery(Loop& loop, Log& log, Gateway& gateway, DiscoveryOptions options)
+Discovery::Discovery(EventLoop& loop, Log& log, Gateway& gateway, DiscoveryOptions options)
     : loop_(loop),
       log_(log),
       gateway_(gateway),
@@ -117,9 +120,9 @@
   // Guards against an answer of the old address that is still on its way.
   for (auto* asker : {&watch_, &fetch_}) {
     if (*asker == nullptr) continue;
-    (*asker)->channel.Close();
+    (*asker)->socket.Close();
     (*asker)->timer.Clear();
-    loop_.Dispose(std::move(*asker));
+    loop_.DeferDelete(std::move(*asker));
   }
   Watch();
 }
@@ -156,7 +159,7 @@
   if (!asker.watch || !asker.waits || options_.pushed) return Failed(asker, "no answer");
   asker.asking = false;
   ++gateway_.tally().list_failures;
-  log_.Line("discovery: a watch failed: silent, opened anew");
+  log_.Info("discovery: a watch failed: silent, opened anew");
   Ask(watch_, true, 0);
 }
 
@@ -164,7 +167,7 @@
   asker.asking = false;
   asker.timer.Clear();
   ++gateway_.tally().list_failures;
-  log_.Line("discovery: a %s failed: %s", asker.watch ? "watch" : "fetch", why);
+  log_.Info("discovery: a %s failed: %s", asker.watch ? "watch" : "fetch", why);
   if (asker.watch) return again_.Set(Pause(asker), [this] { Watch(); });
   // What can fail of a watch is mended here, by a clock that the module does not see; a fetch is the
   // module's.
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -9,6 +9,7 @@
 
 #include "config/platform_config.hpp"
 #include "dispatch/request_dispatcher.hpp"
+#include "http/message.hpp"
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
 #include "io/stream_socket.hpp"
@@ -28,7 +29,7 @@
 
 class Discovery final : public ListSource {
  public:
-  Discovery(Loop& loop, Log& log, Gateway& gateway, DiscoveryOptions options);
+  Discovery(EventLoop& loop, Log& log, Gateway& gateway, DiscoveryOptions options);
   ~Discovery();
 
   // Where lists are pushed, follows them from now on for as long as it lives; else waits for the module.
@@ -51,7 +52,7 @@
   void Failed(Asker& asker, const char* why);
   Micros Pause(const Asker& asker);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   Gateway& gateway_;
   DiscoveryOptions options_;
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -5,6 +5,8 @@
 #include <set>
 #include <utility>
 
+#include "base/payload.hpp"
+
 namespace dappletiller {
 namespace {
 
@@ -61,7 +63,7 @@
 
 }  // namespace
 
-Gateway::Gateway(Loop& loop, Log& log, const sandstand::Settings& settings)
+Gateway::Gateway(EventLoop& loop, Log& log, const sandstand::Settings& settings)
     : loop_(loop), log_(log), balancer_(settings), wake_(loop), tell_(loop) {}
 
 void Gateway::Connect(Workers& workers, ListSource& list) {
@@ -86,7 +88,7 @@
     answered = text;
   }
   auto ended = [&t](AttemptEnd end) { return t.ended[static_cast<std::size_t>(end)]; };
-  log_.Line(
+  log_.Info(
       "passed: %d in, %d served, %d refused, %d failed, %d left, %zu open; sent %d, dialled %d; ended %d ok, "
       "%d error, %d turned away, %d timed out, %d unreachable, %d reset, %d given up, %d not sent; list "
       "calls %d, failed %d, %s",
@@ -257,7 +259,7 @@
 bool Gateway::Detach(const std::string& uid) {
   if (ever_listed_.count(uid) == 0) return false;
   if (held_.Detach(uid)) {
-    log_.Line("worker %s is detached by the operators: draining until attached", uid.c_str());
+    log_.Info("worker %s is detached by the operators: draining until attached", uid.c_str());
     Relist(uid);
   }
   return true;
@@ -266,7 +268,7 @@
 bool Gateway::Attach(const std::string& uid) {
   if (ever_listed_.count(uid) == 0) return false;
   if (held_.Attach(uid, loop_.Now())) {
-    log_.Line("worker %s is attached again by the operators: cold from now", uid.c_str());
+    log_.Info("worker %s is attached again by the operators: cold from now", uid.c_str());
     Relist(uid);
   }
   return true;
@@ -298,7 +300,7 @@
     entry.boot_unix = held_.Started(entry.uid, entry.boot_unix);
     if (entry.state != WorkerState::kGone && !(known.endpoint == entry.endpoint)) {
       std::uint32_t a = entry.endpoint.address;
-      log_.Line("worker %u is %s at %u.%u.%u.%u:%u", known.id, entry.uid.c_str(), a >> 24, a >> 16 & 255,
+      log_.Info("worker %u is %s at %u.%u.%u.%u:%u", known.id, entry.uid.c_str(), a >> 24, a >> 16 & 255,
                 a >> 8 & 255, a & 255, entry.endpoint.port);
       known.endpoint = entry.endpoint;
     }
@@ -398,6 +400,6 @@
 
 void Gateway::Carry(const sandstand::Watch&) { list_->Watch(); }
 void Gateway::Carry(const sandstand::FetchList&) { list_->Fetch(); }
-void Gateway::Carry(const sandstand::Log& action) { log_.Line("module: %s", action.text.c_str()); }
+void Gateway::Carry(const sandstand::Log& action) { log_.Info("module: %s", action.text.c_str()); }
 
 }  // namespace dappletiller
--- a/src/dispatch/request_dispatcher.hpp
+++ b/src/dispatch/request_dispatcher.hpp
@@ -11,6 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/payload.hpp"
 #include "dispatch/counters.hpp"
 #include "dispatch/types.hpp"
 #include "drain/held.hpp"
@@ -23,7 +24,7 @@
 class Gateway {
  public:
   // Throws std::invalid_argument for settings that the module can't work with.
-  Gateway(Loop& loop, Log& log, const sandstand::Settings& settings);
+  Gateway(EventLoop& loop, Log& log, const sandstand::Settings& settings);
   void Connect(Workers& workers, ListSource& list);
 
   // From the acceptor's side. The caller is told the final answer once, unless it says Left first; that may
@@ -99,7 +100,7 @@
   void ForgetIfOver(CallId id);
   void TellTally();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   sandstand::Balancer balancer_;
   Workers* workers_ = nullptr;
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -14,7 +14,11 @@
 #include <system_error>
 #include <utility>
 
+#include "base/payload.hpp"
 #include "downstream/receive_times.hpp"
+#include "http/parser.hpp"
+#include "http/text.hpp"
+#include "http/writer.hpp"
 
 namespace dappletiller {
 namespace {
@@ -29,7 +33,7 @@
 constexpr Micros kTellEvery = 10'000'000;  // that connections were ended early
 constexpr std::size_t kWaste = 64 * 1024;  // read at once of what is thrown away
 // Kept of what a client sends ahead of its answer: one request of the greatest size, or many small ones.
-constexpr std::size_t kAheadLimit = http::kHeadLimit + http::kBodyLimit;
+constexpr std::size_t kAheadLimit = http::kMaxHeadSize + http::kMaxBodySize;
 constexpr int kHintTimes = 16;  // hints of more than this many times a class's patience are no hints
 
 // Doubled, these would mean one thing to us and perhaps another to a worker.
@@ -40,13 +44,13 @@
 }  // namespace
 
 // One client's connection, one call at a time.
-class Acceptor::Conn final : public Channel::Owner, public Caller {
+class Acceptor::Conn final : public StreamSocket::Callbacks, public Caller {
  public:
   Conn(Acceptor& acceptor, limits::ClientRoom::Id id)
-      : channel(acceptor.loop_, *this),
+      : socket(acceptor.loop_, *this),
         id(id),
         acceptor_(acceptor),
-        parser_(http::Parser::Kind::kRequest, http::kBodyLimit, acceptor.options_.long_bodies),
+        parser_(http::Parser::Kind::kRequest, http::kMaxBodySize, acceptor.options_.long_bodies),
         timer_(acceptor.loop_),
         connected_at_(acceptor.loop_.Now()) {}
 
@@ -67,8 +71,8 @@
   // read here: a request that came to light could have its worker's connection make room, and so enter this
   // again.
   bool Leave() {
-    if (!channel.open() || !(idle() || state_ == State::kClosing)) return false;
-    if (state_ != State::kClosing && channel.Stale()) return false;
+    if (!socket.open() || !(idle() || state_ == State::kClosing)) return false;
+    if (state_ != State::kClosing && socket.IsStale()) return false;
     acceptor_.Drop(*this);
     return true;
   }
@@ -86,16 +90,16 @@
 
   // Reads on whatever is open: the client's end lies behind all that it sent, and a call whose client has
   // left must not be sent on. What the parser can't take goes through a buffer that all clients share.
-  std::span<char> Room() override {
-    std::span<char> room = state_ == State::kClosing || spilt_ ? std::span<char>() : parser_.Room();
+  std::span<char> ReceiveBuffer() override {
+    std::span<char> room = state_ == State::kClosing || spilt_ ? std::span<char>() : parser_.ReceiveBuffer();
     return room.empty() ? std::span<char>(acceptor_.waste_) : room;
   }
 
-  void OnBytes(std::size_t n) override {
+  void OnReceived(std::size_t n) override {
     if (state_ == State::kClosing) return;
     if (parser_.done() || parser_.bad() || spilt_) return Ahead(n);
     bool fresh = !parser_.begun();
-    parser_.Got(n);
+    parser_.Commit(n);
     Micros now = acceptor_.loop_.Now();
     if (state_ != State::kReading) return received_.Add(n, parser_.held(), now);
     received_.Restart(parser_.held(), now);
@@ -106,21 +110,21 @@
     Look();
   }
 
-  void OnWritten() override {
+  void OnFlushed() override {
     if (state_ != State::kWriting) return;
     if (!keep_) {
       state_ = State::kClosing;
-      channel.EndSending();
+      socket.ShutdownWrite();
       acceptor_.room_.ToldToGo(id);
       EndUnlessTaken(acceptor_.options_.linger_for);
-      channel.Resume();
+      socket.ResumeReading();
       return;
     }
     state_ = State::kReading;
     Begin();
     Look();
-    channel.Resume();
-    if (!channel.open() || !idle()) return;
+    socket.ResumeReading();
+    if (!socket.open() || !idle()) return;
     acceptor_.room_.Rested(id);
     if (acceptor_.closed_) {
       Leave();
@@ -129,28 +133,28 @@
     }
   }
 
-  void OnGone(StreamEnd) override { acceptor_.Drop(*this); }
+  void OnClosed(StreamEnd) override { acceptor_.Drop(*this); }
 
   void Served(PayloadRef answer) override {
     auto message = std::static_pointer_cast<const http::Message>(std::move(answer));
     Answering();
-    http::WriteAnswer(message, keep_, &channel.out());
+    http::WriteResponse(message, keep_, &socket.output());
     WriteOut();
   }
   void Rejected(Micros retry_after) override { Say(503, "overloaded, try again later", retry_after); }
   void Failed() override { Say(502, "no worker answered", 0); }
-  bool Gone() const override { return channel.PeerEnded(); }
+  bool Gone() const override { return socket.PeerHasClosed(); }
 
   // A client that goes while its call is open has left it.
   void End() {
     timer_.Clear();
-    channel.Close();
+    socket.Close();
     if (std::exchange(state_, State::kClosing) != State::kWaiting) return;
     CloseCall();
     acceptor_.gateway_.Left(call_);
   }
 
-  Channel channel;
+  StreamSocket socket;
   const limits::ClientRoom::Id id;
 
  private:
@@ -174,13 +178,13 @@
     }
     if (parser_.wants_continue()) {
       parser_.continued();
-      channel.out().Add("HTTP/1.1 100 Continue\r\n\r\n");
-      channel.Flush();
+      socket.output().Append("HTTP/1.1 100 Continue\r\n\r\n");
+      socket.Flush();
     }
     if (!parser_.done() && spilt_) return Reject(413, "too much was sent ahead of an answer");
-    if (!parser_.done() || !channel.open()) return;
+    if (!parser_.done() || !socket.open()) return;
     std::size_t held = parser_.held();
-    http::MessageRef request = parser_.Take();
+    http::MessageRef request = parser_.TakeMessage();
     last_byte_at_ = received_.Take(held - parser_.held());
     keep_ = request->keep_alive();
     fresh_ = false;
@@ -260,11 +264,11 @@
 
   // Whether more has come behind the request at hand. Ended with the answer to that one, the connection would
   // end without an answer to a further request that the proxy has taken.
-  bool NextIsHere() { return parser_.begun() || channel.Stale(); }
+  bool NextIsHere() { return parser_.begun() || socket.IsStale(); }
 
   void WriteOut() {
     EndUnlessTaken(acceptor_.options_.write_for);
-    channel.Flush();
+    socket.Flush();
   }
 
   // Ends the connection once its client has taken nothing of its answers for `span`, or has them all and is
@@ -272,9 +276,9 @@
   // slowly but steadily. Closed while the kernel still holds part of an answer, the connection would be reset
   // by the client's next byte, and that part lost.
   void EndUnlessTaken(Micros span) {
-    std::size_t before = channel.Undelivered();
+    std::size_t before = socket.UnacknowledgedBytes();
     timer_.Set(span, [this, span, before] {
-      std::size_t left = channel.Undelivered();
+      std::size_t left = socket.UnacknowledgedBytes();
       if (left > 0 && left < before) return EndUnlessTaken(span);
       if (state_ == State::kWriting) return acceptor_.Drop(*this);
       Leave();
@@ -283,13 +287,13 @@
 
   void Say(int status, std::string_view text, Micros retry_after) {
     Answering();
-    http::WriteStatus(status, text, retry_after, keep_, &channel.out());
+    http::WriteStatusResponse(status, text, retry_after, keep_, &socket.output());
     WriteOut();
   }
 
   void Reject(int status, std::string_view text) {
     keep_ = false;
-    acceptor_.log_.Line("acceptor: %d to a client: %.*s", status, static_cast<int>(text.size()), text.data());
+    acceptor_.log_.Info("acceptor: %d to a client: %.*s", status, static_cast<int>(text.size()), text.data());
     Say(status, text, 0);
   }
 
@@ -307,20 +311,21 @@
   bool spilt_ = false;  // more was sent ahead than is kept
 };
 
-Acceptor::Acceptor(Loop& loop, Log& log, Gateway& gateway, Budget& budget, AcceptorOptions options)
+Acceptor::Acceptor(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
+                   AcceptorOptions options)
     : loop_(loop),
       log_(log),
       gateway_(gateway),
-      budget_(budget),
+      descriptors_(descriptors),
       options_(std::move(options)),
       waste_(kWaste),
       pause_(loop),
       room_(options_.places, options_.new_for) {
-  budget_.SetSpare(Budget::Side::kClients, [this] {
+  descriptors_.SetCloseUnused(DescriptorLimit::Side::kDownstream, [this] {
     return room_.MakeRoom(loop_.Now(), [this](limits::ClientRoom::Id id) { return DropIfUnused(id); });
   });
-  budget_.SetFreed([this] {
-    if (waiting_ && listener_) loop_.Again(token_, EPOLLIN);
+  descriptors_.SetOnRoom([this] {
+    if (waiting_ && listener_) loop_.NotifyAgain(token_, EPOLLIN);
   });
   for (std::size_t i = 0; i < options_.classes.size(); ++i) {
     class_of_[options_.classes[i]] = static_cast<int>(i);
@@ -371,7 +376,7 @@
       if (decided < 0 || gap < nearest) decided = static_cast<int>(c), nearest = gap;
     }
     if (decided < 0) {
-      log_.Line("reload: class %s has an effect that no class of the start has; it needs a restart",
+      log_.Info("reload: class %s has an effect that no class of the start has; it needs a restart",
                 names[i].c_str());
       continue;
     }
@@ -381,19 +386,21 @@
     options_.patience.push_back(patience[i]);
     options_.effects.push_back(effects[i]);
     options_.decided_as.push_back(decided);
-    log_.Line("reload: class %s is new; decided as %s", names[i].c_str(),
+    log_.Info("reload: class %s is new; decided as %s", names[i].c_str(),
               options_.classes[static_cast<std::size_t>(decided)].c_str());
   }
 }
 
 Acceptor::~Acceptor() {
-  budget_.SetSpare(Budget::Side::kClients, nullptr);
-  budget_.SetFreed(nullptr);
-  if (listener_) loop_.Forget(token_, listener_.get());
+  descriptors_.SetCloseUnused(DescriptorLimit::Side::kDownstream, nullptr);
+  descriptors_.SetOnRoom(nullptr);
+  if (listener_) loop_.Unwatch(token_, listener_.get());
 }
 
 void Acceptor::Listen() {
-  listener_ = ListenOn(options_.listen, SOMAXCONN, "listen", &port_);
+  BoundSocket bound = BindTcpListener(options_.listen, SOMAXCONN, "listen");
+  listener_ = std::move(bound.fd);
+  port_ = bound.port;
   Watch();
 }
 
@@ -415,7 +422,7 @@
   if (flags < 0 || ::fcntl(fd, F_SETFL, flags | O_NONBLOCK) != 0 || ::fcntl(fd, F_SETFD, FD_CLOEXEC) != 0) {
     throw std::system_error(errno, std::generic_category(), "BALANCER_SOCKET_FD");
   }
-  listener_ = Fd(fd);
+  listener_ = FileDescriptor(fd);
   inherited_ = true;
   sockaddr_in address{};
   socklen_t size = sizeof address;
@@ -438,7 +445,7 @@
 
 void Acceptor::StopAccepting() {
   pause_.Clear();
-  if (listener_) loop_.Forget(token_, listener_.get());
+  if (listener_) loop_.Unwatch(token_, listener_.get());
   listener_.Reset();
 }
 
@@ -447,26 +454,26 @@
 void Acceptor::Accept() {
   waiting_ = false;
   for (int i = 0; listener_; ++i) {
-    if (i == kAcceptsAtOnce) return loop_.Again(token_, EPOLLIN);
+    if (i == kAcceptsAtOnce) return loop_.NotifyAgain(token_, EPOLLIN);
     // Guards against an idle client being sent away to make room for nobody.
-    if (!budget_.Fits(Budget::Side::kClients) && !Pending()) return;
-    if (!budget_.MakeRoom(Budget::Side::kClients)) {
-      log_.Line("acceptor: all %zu connections in use, new ones wait", budget_.limit());
+    if (!descriptors_.HasRoom(DescriptorLimit::Side::kDownstream) && !Pending()) return;
+    if (!descriptors_.MakeRoom(DescriptorLimit::Side::kDownstream)) {
+      log_.Info("acceptor: all %zu connections in use, new ones wait", descriptors_.limit());
       waiting_ = true;  // Drop goes on from here
       return;
     }
-    Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       if (errno == EINTR || errno == ECONNABORTED || errno == EPROTO) continue;
       // Guards against spinning on a listener that stays ready while there are no descriptors.
-      log_.Line("acceptor: accept failed: %s", std::strerror(errno));
+      log_.Info("acceptor: accept failed: %s", std::strerror(errno));
       pause_.Set(kRetryAccept, [this] { Accept(); });
       return;
     }
     auto conn = std::make_unique<Conn>(*this, ++ids_);
-    if (!conn->channel.Adopt(std::move(fd))) continue;
-    budget_.Take();
+    if (!conn->socket.Adopt(std::move(fd))) continue;
+    descriptors_.Acquire();
     Conn& begun = *conn;
     conns_[begun.id] = std::move(conn);
     room_.Opened(begun.id, loop_.Now());
@@ -485,7 +492,7 @@
   // Guards against a shortage of places that nobody sees: what can't get in leaves no other trace here.
   Micros now = loop_.Now();
   if (told_at_ != 0 && now < told_at_ + kTellEvery) return true;
-  log_.Line(
+  log_.Info(
       "acceptor: %ld unused client connections ended early since the last such line; %zu of %zu places in "
       "use",
       std::exchange(ended_early_, 0), room_.calling(), room_.places());
@@ -503,8 +510,8 @@
   conns_.erase(it);
   room_.Closed(owned->id);
   owned->End();
-  budget_.Give();
-  loop_.Dispose(std::move(owned));
+  descriptors_.Release();
+  loop_.DeferDelete(std::move(owned));
 }
 
 void Acceptor::Close() {
@@ -526,7 +533,7 @@
   std::vector<Conn*> all;
   for (auto& [id, conn] : conns_) all.push_back(conn.get());
   for (Conn* conn : all) {
-    if (conn->channel.open() && conn->idle()) conn->LeaveUnlessNew();
+    if (conn->socket.open() && conn->idle()) conn->LeaveUnlessNew();
   }
 }
 
--- a/src/downstream/listener.hpp
+++ b/src/downstream/listener.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "dispatch/request_dispatcher.hpp"
+#include "http/body_memory.hpp"
 #include "io/descriptor_limit.hpp"
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
@@ -38,9 +39,10 @@
   std::shared_ptr<BodyMemory> long_bodies = nullptr;
 };
 
-class Acceptor final : private EventSink {
+class Acceptor final : private EventHandler {
  public:
-  Acceptor(Loop& loop, Log& log, Gateway& gateway, Budget& budget, AcceptorOptions options);
+  Acceptor(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
+           AcceptorOptions options);
   ~Acceptor();
 
   void Listen();  // throws std::system_error
@@ -91,10 +93,10 @@
   void Watch();
   void CloseIdle();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   Gateway& gateway_;
-  Budget& budget_;
+  DescriptorLimit& descriptors_;
   AcceptorOptions options_;
   std::unordered_map<std::string, int> class_of_;
   std::unordered_map<std::string, int> tenant_of_;
@@ -103,8 +105,8 @@
   std::size_t modules_classes_ = 0;           // the classes that the module was made with come first
   std::unordered_set<std::string> open_ids_;  // of the calls that are open
   std::vector<char> waste_;                   // where what nobody will read goes
-  Fd listener_;
-  Loop::Token token_ = 0;
+  FileDescriptor listener_;
+  EventLoop::WatchId token_ = 0;
   Timer pause_;  // after accept failed for want of descriptors
   std::uint16_t port_ = 0;
   ConnMap conns_;
--- /dev/null
+++ b/src/http/message.hpp
@@ -0,0 +1,65 @@
+// One HTTP/1.1 request or response, in the bytes in which it came: the head is parsed in place and the body
+// decoded in place, so views into it stay valid as long as the message lives.
+#ifndef DAPPLETILLER_HTTP_MESSAGE_HPP_
+#define DAPPLETILLER_HTTP_MESSAGE_HPP_
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "base/payload.hpp"
+#include "http/body_memory.hpp"
+
+namespace dappletiller::http {
+
+class Message : public Payload {
+ public:
+  std::string_view method() const { return View(method_); }
+  std::string_view target() const { return View(target_); }
+  // The target without its query.
+  std::string_view path() const { return target().substr(0, target().find('?')); }
+  int status() const { return status_; }
+  std::string_view body() const { return View(body_); }
+  // Whether the connection may carry another message after this one.
+  bool keep_alive() const { return keep_alive_; }
+
+  // The first header of that name, in any case.
+  std::optional<std::string_view> Find(std::string_view name) const;
+  std::size_t Count(std::string_view name) const;
+  // The lines, line ends included, of the headers that are end-to-end (RFC 9110, section 7.6.1) and not about
+  // the body's framing. Neighbouring lines come as one view.
+  std::vector<std::string_view> EndToEndHeaders() const;
+
+ private:
+  friend class Parser;
+
+  // A range of `bytes_`.
+  struct Part {
+    std::uint32_t at = 0;
+    std::uint32_t size = 0;
+  };
+  struct Header {
+    Part name;
+    Part value;
+    Part line;
+  };
+  std::string_view View(Part part) const { return std::string_view(bytes_).substr(part.at, part.size); }
+
+  std::string bytes_;
+  Part method_;
+  Part target_;
+  Part body_;
+  int status_ = 0;
+  bool keep_alive_ = true;
+  std::vector<Header> headers_;
+  BodyMemory::Share long_body_;  // for what the body has beyond the parser's limit
+};
+using MessageRef = std::shared_ptr<const Message>;
+
+}  // namespace dappletiller::http
+
+#endif  // DAPPLETILLER_HTTP_MESSAGE_HPP_
--- /dev/null
+++ b/src/http/writer.cpp
@@ -0,0 +1,84 @@
+#include "http/writer.hpp"
+
+#include <string>
+
+#include "http/text.hpp"
+
+namespace dappletiller::http {
+namespace {
+
+std::string_view ReasonPhrase(int status) {
+  switch (status) {
+    case 200:
+      return "OK";
+    case 400:
+      return "Bad Request";
+    case 405:
+      return "Method Not Allowed";
+    case 409:
+      return "Conflict";
+    case 408:
+      return "Request Timeout";
+    case 413:
+      return "Content Too Large";
+    case 431:
+      return "Request Header Fields Too Large";
+    case 502:
+      return "Bad Gateway";
+    case 503:
+      return "Service Unavailable";
+    default:
+      return "Error";
+  }
+}
+
+// Seconds with three decimals.
+std::string FormatRetryAfter(Micros retry_after) {
+  constexpr Micros kMicrosPerMilli = 1000;
+  constexpr Micros kMicrosPerSecond = 1'000'000;
+  constexpr std::size_t kDecimals = 3;
+  const Micros rounded_up = retry_after + kMicrosPerMilli - 1;
+  const std::string milliseconds = std::to_string(rounded_up / kMicrosPerMilli % 1000);
+  const std::string seconds = std::to_string(rounded_up / kMicrosPerSecond);
+  return seconds + "." + std::string(kDecimals - milliseconds.size(), '0') + milliseconds;
+}
+
+}  // namespace
+
+void WriteRequest(const MessageRef& request, Micros timeout, OutputBuffer* out) {
+  out->AppendView(request->method(), request);
+  out->Append(" ");
+  out->AppendView(request->target(), request);
+  out->Append(" HTTP/1.1\r\n");
+  for (std::string_view line : request->EndToEndHeaders()) out->AppendView(line, request);
+  std::string own_headers = "Request-Timeout: " + FormatTimeout(timeout) + "\r\n";
+  if (!request->body().empty() || request->method() != "GET") {
+    own_headers += "Content-Length: " + std::to_string(request->body().size()) + "\r\n";
+  }
+  out->AppendOwned(own_headers + "\r\n");
+  out->AppendView(request->body(), request);
+}
+
+void WriteResponse(const MessageRef& response, bool keep_alive, OutputBuffer* out) {
+  out->Append("HTTP/1.1 200 OK\r\n");
+  for (std::string_view line : response->EndToEndHeaders()) out->AppendView(line, response);
+  out->AppendOwned("Content-Length: " + std::to_string(response->body().size()) +
+                   (keep_alive ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n"));
+  out->AppendView(response->body(), response);
+}
+
+void WriteStatusResponse(int status, std::string_view text, Micros retry_after, bool keep_alive,
+                         OutputBuffer* out, std::string_view content_type) {
+  std::string response = "HTTP/1.1 " + std::to_string(status) + " ";
+  response.append(ReasonPhrase(status));
+  response += "\r\nContent-Type: ";
+  response.append(content_type);
+  response += "\r\nContent-Length: " + std::to_string(text.size() + 1) + "\r\n";
+  if (retry_after > 0) response += "Retry-After: " + FormatRetryAfter(retry_after) + "\r\n";
+  if (!keep_alive) response += "Connection: close\r\n";
+  response += "\r\n";
+  response.append(text);
+  out->AppendOwned(response + "\n");
+}
+
+}  // namespace dappletiller::http
--- a/src/io/descriptor_limit.hpp
+++ b/src/io/descriptor_limit.hpp
@@ -1,55 +1,65 @@
-// The connections that all parts may hold together, so that the limit on descriptors binds in one place.
+// How many connections all parts may hold together, so that the process's limit on descriptors binds in one
+// place.
 #ifndef DAPPLETILLER_IO_DESCRIPTOR_LIMIT_HPP_
 #define DAPPLETILLER_IO_DESCRIPTOR_LIMIT_HPP_
 
 #include <cstddef>
 #include <functional>
+#include <utility>
 
 namespace dappletiller {
 
-class Budget {
+class DescriptorLimit {
  public:
-  enum class Side { kClients, kWorkers };
-  // The last `kept` connections are for clients alone: a request must still be taken, and refused, when
-  // everything else is in use, since one that waits in the kernel is ours already.
-  Budget(std::size_t limit, std::size_t kept) : limit_(limit), kept_(kept) {}
-
-  // How each side closes one unused connection of its own; false if it has none.
-  void SetSpare(Side side, std::function<bool()> spare) {
-    (side == Side::kClients ? spare_client_ : spare_worker_) = std::move(spare);
+  enum class Side { kDownstream, kUpstream };
+
+  // The last `reserved` of `limit` connections are for downstream alone: a request must still be accepted,
+  // and rejected, when everything else is in use, since one that waits in the kernel is ours already.
+  DescriptorLimit(std::size_t limit, std::size_t reserved) : limit_(limit), reserved_(reserved) {}
+
+  // How a side closes one unused connection of its own; it returns false if it has none.
+  void SetCloseUnused(Side side, std::function<bool()> close_unused) {
+    (side == Side::kDownstream ? close_unused_downstream_ : close_unused_upstream_) = std::move(close_unused);
   }
-  void SetFreed(std::function<void()> freed) { freed_ = std::move(freed); }
+  // Called whenever there may be room again.
+  void SetOnRoom(std::function<void()> on_room) { on_room_ = std::move(on_room); }
 
-  // Room for one more, if need be by closing an unused connection, clients' first: a client opens another for
-  // nothing, a worker's costs that worker a handshake. Guards against a silent crowd costing all of those.
+  bool HasRoom(Side side) const { return used_ + (side == Side::kUpstream ? reserved_ : 0) < limit_; }
+  // Makes room for one more connection, if need be by closing an unused one, downstream first: a client opens
+  // another at no cost, an upstream server pays a handshake. A silent crowd of clients thus can't cost all of
+  // those.
   bool MakeRoom(Side side) {
-    while (!Fits(side)) {
-      if (!(spare_client_ && spare_client_()) && !(spare_worker_ && spare_worker_())) return false;
+    while (!HasRoom(side)) {
+      const bool closed = CloseUnused(close_unused_downstream_) || CloseUnused(close_unused_upstream_);
+      if (!closed) return false;
     }
     return true;
   }
-  bool Fits(Side side) const { return used_ + (side == Side::kWorkers ? kept_ : 0) < limit_; }
-  void Take() { ++used_; }
-  void Give() {
+  void Acquire() { ++used_; }
+  void Release() {
     --used_;
-    if (freed_) freed_();
+    if (on_room_) on_room_();
   }
-  // A smaller limit binds as connections end; none in use is cut off for it.
-  void Resize(std::size_t limit, std::size_t kept) {
+  // A smaller limit binds as connections end; none in use is closed for it.
+  void Resize(std::size_t limit, std::size_t reserved) {
     limit_ = limit;
-    kept_ = kept;
-    if (freed_) freed_();
+    reserved_ = reserved;
+    if (on_room_) on_room_();
   }
   std::size_t limit() const { return limit_; }
   std::size_t used() const { return used_; }
 
  private:
+  static bool CloseUnused(const std::function<bool()>& close_unused) {
+    return close_unused && close_unused();
+  }
+
   std::size_t limit_;
-  std::size_t kept_;
+  std::size_t reserved_;
   std::size_t used_ = 0;
-  std::function<bool()> spare_client_;
-  std::function<bool()> spare_worker_;
-  std::function<void()> freed_;
+  std::function<bool()> close_unused_downstream_;
+  std::function<bool()> close_unused_upstream_;
+  std::function<void()> on_room_;
 };
 
 }  // namespace dappletiller
--- a/src/io/event_loop.hpp
+++ b/src/io/event_loop.hpp
@@ -1,4 +1,7 @@
-// The event loop: edge-triggered epoll, timers, one monotonic clock, ownership of descriptors.
+// The event loop: edge-triggered epoll, timers and one monotonic clock.
+//
+// One thread runs the loop, and all that lives on it is used from that thread only. Handlers and timers may
+// do anything but free the object whose callback is running; that goes through DeferDelete.
 #ifndef DAPPLETILLER_IO_EVENT_LOOP_HPP_
 #define DAPPLETILLER_IO_EVENT_LOOP_HPP_
 
@@ -9,104 +12,92 @@
 #include <utility>
 #include <vector>
 
-#include "base/endpoint.hpp"
 #include "base/time.hpp"
+#include "io/bound_socket.hpp"
+#include "io/file_descriptor.hpp"
 
 namespace dappletiller {
 
-class Fd {
- public:
-  Fd() = default;
-  explicit Fd(int fd) : fd_(fd) {}
-  ~Fd() { Reset(); }
-  Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  Fd& operator=(Fd&& other) noexcept;
-  Fd(const Fd&) = delete;
-  Fd& operator=(const Fd&) = delete;
-  int get() const { return fd_; }
-  explicit operator bool() const { return fd_ >= 0; }
-  void Reset();
-
- private:
-  int fd_ = -1;
-};
-
-// A non-blocking TCP listener on `where` (port 0: the kernel's choice), and the port it got. Throws
-// std::system_error naming `what` and the call that failed.
-Fd ListenOn(const Endpoint& where, int backlog, const char* what, std::uint16_t* port);
-// The same for datagrams.
-Fd DatagramsOn(const Endpoint& where, const char* what, std::uint16_t* port);
-
-class EventSink {
+class EventHandler {
  public:
+  // `events` are those of epoll(7).
   virtual void OnReady(std::uint32_t events) = 0;
 
  protected:
-  ~EventSink() = default;
+  ~EventHandler() = default;
 };
 
-class Loop {
+class EventLoop {
  public:
-  using Token = std::uint64_t;  // 0: none
+  using WatchId = std::uint64_t;  // 0: none
   using TimerKey = std::pair<Micros, std::uint64_t>;
 
-  Loop();  // throws std::system_error
-  // Microseconds that never go back; they began as Unix time, so that Unix times can be compared with them.
+  EventLoop();  // throws std::system_error
+
+  // Microseconds that never go back. They began as Unix time, so that Unix times can be compared with them.
   Micros Now() const;
 
-  // Reports readiness in both directions, on edges. A token outlives its sink: events that are already
-  // fetched for a forgotten token, or for a new sink on the same descriptor number, reach nobody.
-  Token Watch(int fd, EventSink* sink);
-  void Forget(Token token, int fd);
-  // Has the sink called once more in the next round: for those who stop before EAGAIN to let others in.
-  void Again(Token token, std::uint32_t events);
+  // Reports readiness in both directions, on edges. 0 if epoll refuses the descriptor. A WatchId outlives its
+  // handler: events that are already fetched for one that is no longer watched, or for a new handler on the
+  // same descriptor number, reach nobody.
+  WatchId Watch(int fd, EventHandler* handler);
+  void Unwatch(WatchId watch, int fd);
+  // Calls the handler once more in the next round: for handlers that stop before EAGAIN to let others in.
+  void NotifyAgain(WatchId watch, std::uint32_t events);
 
-  TimerKey At(Micros when, std::function<void()> what);
+  // Calls `callback` once at `when` or as soon after as the loop gets to it.
+  TimerKey ScheduleAt(Micros when, std::function<void()> callback);
   void Cancel(TimerKey key) { timers_.erase(key); }
 
-  // Frees an object once no callback can still be running in it.
+  // Frees an object at the end of the round, when no callback can still be running in it.
   template <typename T>
-  void Dispose(std::unique_ptr<T> object) {
-    graveyard_.push_back(std::shared_ptr<void>(std::move(object)));
+  void DeferDelete(std::unique_ptr<T> object) {
+    to_delete_.push_back(std::shared_ptr<void>(std::move(object)));
   }
 
+  // Runs until Stop.
   void Run();
   void Stop() { stopped_ = true; }
-  // One round, waiting for events for at most `longest`.
-  void Round(Micros longest);
+  // One round, in which events are waited for at most `max_wait`.
+  void RunOnce(Micros max_wait);
 
  private:
   struct Slot {
-    EventSink* sink = nullptr;
+    EventHandler* handler = nullptr;
     std::uint32_t generation = 1;
   };
-  void Deliver(Token token, std::uint32_t events);
 
-  Fd epoll_;
-  Micros offset_ = 0;
-  std::vector<Slot> slots_;
-  std::vector<std::uint32_t> free_;
-  std::vector<std::pair<Token, std::uint32_t>> again_;
+  void Deliver(WatchId watch, std::uint32_t events);
+  void RunTimers();
+  int MillisecondsToWait(Micros max_wait) const;
+
+  FileDescriptor epoll_;
+  Micros unix_offset_ = 0;   // from the steady clock to Unix time, at the start
+  std::vector<Slot> slots_;  // by the lower half of a WatchId; the upper half is the generation
+  std::vector<std::uint32_t> free_slots_;
+  std::vector<std::pair<WatchId, std::uint32_t>> to_notify_;
   std::map<TimerKey, std::function<void()>> timers_;
-  std::uint64_t timer_count_ = 0;
-  std::vector<std::shared_ptr<void>> graveyard_;
+  std::uint64_t timers_scheduled_ = 0;
+  std::vector<std::shared_ptr<void>> to_delete_;
   bool stopped_ = false;
 };
 
-// A timer that goes with its owner, so that it never fires into freed memory.
+// A timer that is cancelled with its owner, so that it never fires into freed memory.
 class Timer {
  public:
-  explicit Timer(Loop& loop) : loop_(loop) {}
+  explicit Timer(EventLoop& loop) : loop_(loop) {}
   ~Timer() { Clear(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
-  void Set(Micros after, std::function<void()> what);
+
+  // Replaces what was set before.
+  void Set(Micros after, std::function<void()> callback);
   void Clear();
   bool set() const { return set_; }
 
  private:
-  Loop& loop_;
-  Loop::TimerKey key_{0, 0};
+  EventLoop& loop_;
+  EventLoop::TimerKey key_{0, 0};
   bool set_ = false;
 };
 
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -63,81 +63,86 @@
   return spdlog::level::err;
 }
 
-Micros Steady() {
+Micros SteadyNow() {
   auto now = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
+constexpr const char* kTextPattern = "%n: %v";
+constexpr const char* kJsonPattern = R"({"at":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","name":"%n","text":"%J"})";
+constexpr std::size_t kMaxLineSize = 512;  // with the final zero
+
 }  // namespace
 
 Log::Log(std::FILE* to, const char* name)
-    : logger_(std::make_unique<spdlog::logger>(name, std::make_shared<StreamSink>(to))), name_(name) {
-  Shape(false, Level::kInfo);
+    : logger_(std::make_unique<spdlog::logger>(name, std::make_shared<StreamSink>(to))) {
+  Configure(Format::kText, Level::kInfo);
 }
 
 Log::~Log() = default;
 
 Log::Level Log::ParseLevel(const std::string& word) {
-  return word == "debug"   ? Level::kDebug
-         : word == "warn"  ? Level::kWarn
-         : word == "error" ? Level::kError
-                           : Level::kInfo;
+  if (word == "debug") return Level::kDebug;
+  if (word == "warn") return Level::kWarn;
+  if (word == "error") return Level::kError;
+  return Level::kInfo;
 }
 
-void Log::Shape(bool json, Level least) {
-  json_ = json;
-  least_ = least;
+void Log::Configure(Format format, Level min_level) {
+  min_level_ = min_level;
   auto formatter = std::make_unique<spdlog::pattern_formatter>(spdlog::pattern_time_type::utc);
-  formatter->add_flag<JsonText>('J').set_pattern(
-      json ? R"({"at":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","name":"%n","text":"%J"})" : "%n: %v");
+  formatter->add_flag<JsonText>('J').set_pattern(format == Format::kJson ? kJsonPattern : kTextPattern);
   logger_->set_formatter(std::move(formatter));
-  logger_->set_level(Translate(least));
+  logger_->set_level(Translate(min_level));
 }
 
-// Before the text is made: what is left out must cost next to nothing.
-bool Log::Wanted(Level level) {
-  if (level < least_) return false;
-  Micros now = Steady();
-  if (at_ != 0) left_ = std::min(kBurst, left_ + kPerSecond * static_cast<double>(now - at_) / 1e6);
-  at_ = now;
-  if (left_ < 1) {
+// Comes before the text is made: a line that is left out must cost next to nothing.
+bool Log::Admit(Level level) {
+  if (level < min_level_) return false;
+  const Micros now = SteadyNow();
+  if (last_line_at_ != 0) {
+    const double seconds = static_cast<double>(now - last_line_at_) / 1e6;
+    tokens_ = std::min(kBurst, tokens_ + kLinesPerSecond * seconds);
+  }
+  last_line_at_ = now;
+  if (tokens_ < 1) {
     ++left_out_;
     return false;
   }
-  left_ -= 1;
+  tokens_ -= 1;
   return true;
 }
 
-void Log::Write(Level level, const char* format, std::va_list args) {
-  std::array<char, 512> text;
+void Log::Emit(Level level, const char* format, std::va_list args) {
+  std::array<char, kMaxLineSize> text;
   std::vsnprintf(text.data(), text.size(), format, args);
-  std::string whole = text.data();
-  if (left_out_ > 0) whole += " (" + std::to_string(left_out_) + " lines left out before this)";
+  std::string line = text.data();
+  if (left_out_ > 0) line += " (" + std::to_string(left_out_) + " lines left out before this)";
   left_out_ = 0;
-  logger_->log(Translate(level), spdlog::string_view_t(whole));
+  logger_->log(Translate(level), spdlog::string_view_t(line));
 }
 
-void Log::Line(const char* format, ...) {
-  if (!Wanted(Level::kInfo)) return;
+void Log::Info(const char* format, ...) {
+  if (!Admit(Level::kInfo)) return;
   std::va_list args;
   va_start(args, format);
-  Write(Level::kInfo, format, args);
+  Emit(Level::kInfo, format, args);
   va_end(args);
 }
 
-void Log::Always(const char* format, ...) {
-  if (Level::kInfo < least_) return;
+void Log::Important(const char* format, ...) {
+  if (Level::kInfo < min_level_) return;
   std::va_list args;
   va_start(args, format);
-  Write(Level::kInfo, format, args);
+  Emit(Level::kInfo, format, args);
   va_end(args);
 }
 
-void Log::At(Level level, const char* format, ...) {
-  if (!Wanted(level)) return;
+void Log::Write(Level level, const char* format, ...) {
+  if (!Admit(level)) return;
   std::va_list args;
   va_start(args, format);
-  Write(level, format, args);
+  Emit(level, format, args);
   va_end(args);
 }
 
--- a/src/io/stream_socket.hpp
+++ b/src/io/stream_socket.hpp
@@ -1,79 +1,97 @@
-// The thin driver between a socket and whoever speaks a protocol on it.
+// A TCP connection on the event loop: reads into its user's buffers, writes from an OutputBuffer.
+//
+// Whoever speaks a protocol on it implements StreamSocket::Callbacks and owns the socket.
 #ifndef DAPPLETILLER_IO_STREAM_SOCKET_HPP_
 #define DAPPLETILLER_IO_STREAM_SOCKET_HPP_
 
+#include <cstddef>
+#include <cstdint>
 #include <span>
 
 #include "base/endpoint.hpp"
-#include "base/time.hpp"
-#include "http/http.hpp"
 #include "io/event_loop.hpp"
+#include "io/output_buffer.hpp"
 
 namespace dappletiller {
 
 // How a stream ended. A reset, or any other error that was met by the end, is no orderly end, whoever met it
-// and however much could still be read: what lasts until the end of its stream is whole only after kOrderly
-// (RFC 9112, 6.3 and 8).
+// and however much could still be read: a message that lasts until the end of its stream is complete only
+// after kOrderly (RFC 9112, sections 6.3 and 8).
 enum class StreamEnd { kOrderly, kBroken };
 
-class Channel final : private EventSink {
+class StreamSocket final : private EventHandler {
  public:
-  // Callbacks may close the channel, but must leave freeing it to Loop::Dispose.
-  class Owner {
+  // Any of these may close the socket, but must leave freeing it to EventLoop::DeferDelete.
+  class Callbacks {
    public:
-    virtual std::span<char> Room() = 0;  // empty: read no further for now
-    virtual void OnBytes(std::size_t n) = 0;
+    // Where the next bytes go. Empty: nothing is read until ResumeReading.
+    virtual std::span<char> ReceiveBuffer() = 0;
+    // So many bytes are in that buffer.
+    virtual void OnReceived(std::size_t count) = 0;
     virtual void OnConnected() {}
-    virtual void OnWritten() {}  // all that was to be written is
-    // Asked each time before bytes go to the kernel. False: none do; the owner has closed the channel, or
+    // All of the output has been handed to the kernel.
+    virtual void OnFlushed() {}
+    // Asked each time before bytes go to the kernel. False: none do; the callee has closed the socket, or
     // flushes again once they may.
     virtual bool MayWrite() { return true; }
-    virtual void OnGone(StreamEnd how) = 0;  // nothing more will come; not called after Close
+    // Nothing more will come. Not called after Close.
+    virtual void OnClosed(StreamEnd how) = 0;
 
    protected:
-    ~Owner() = default;
+    ~Callbacks() = default;
   };
 
-  Channel(Loop& loop, Owner& owner) : loop_(loop), owner_(owner) {}
-  ~Channel() { Close(); }
-  Channel(const Channel&) = delete;
-  Channel& operator=(const Channel&) = delete;
+  // Both must outlive it.
+  StreamSocket(EventLoop& loop, Callbacks& callbacks) : loop_(loop), callbacks_(callbacks) {}
+  ~StreamSocket() { Close(); }
+  StreamSocket(const StreamSocket&) = delete;
+  StreamSocket& operator=(const StreamSocket&) = delete;
 
-  bool Adopt(Fd fd);                    // an accepted connection
-  bool Connect(const Endpoint& where);  // false: it failed at once
+  // Takes over an accepted connection. False: it failed at once.
+  bool Adopt(FileDescriptor connection);
+  // Begins to connect. False: it failed at once.
+  bool Connect(const Endpoint& where);
   bool open() const { return static_cast<bool>(fd_); }
   std::uint16_t local_port() const;  // 0: not open
-  http::Outbox& out() { return out_; }
-  void Flush();   // writes what is in out() as far as it goes now
-  void Resume();  // there is room again
-  // Whether the other side has closed, or sent something, without our having been told yet.
-  bool Stale();
-  // Whether the other side has ended or broken the stream, also where that lies behind unread bytes.
-  bool PeerEnded() const;
-  // Of what was to be written, the bytes that the other side's machine has not acknowledged: ours and the
-  // kernel's. What the other side sends once it has the last byte acknowledges that byte too: bytes that are
-  // read while some are undelivered were sent before.
-  std::size_t Undelivered() const;
-  void EndSending();  // half-close
+
+  OutputBuffer& output() { return output_; }
+  // Writes the output as far as the kernel takes it now; the rest follows by itself.
+  void Flush();
+  void ResumeReading();
+
+  // Whether the peer has closed, or sent something, without a callback having said so yet.
+  bool IsStale();
+  // Whether the peer has ended or broken the stream, also where that lies behind unread bytes.
+  bool PeerHasClosed() const;
+  // Of the output, the bytes that the peer's machine has not acknowledged: ours and the kernel's. What the
+  // peer sends once it has the last byte acknowledges that byte too, so bytes that are read while some are
+  // unacknowledged were sent before.
+  std::size_t UnacknowledgedBytes() const;
+
+  void ShutdownWrite();  // half-close
   void Close();
-  void Break();  // closes so that the other side meets a reset, not an end
+  void Abort();  // closes so that the peer meets a reset, not an end
 
  private:
   void OnReady(std::uint32_t events) override;
+  void OnConnectResult(std::uint32_t events);
   void Read();
-  void Gone(StreamEnd how);
+  // False: reading is over for now.
+  bool ReadOnce();
+  void OnWriteError();
+  void NotifyClosed(StreamEnd how);
   int TakeError();
   bool Register();
 
-  Loop& loop_;
-  Owner& owner_;
-  Fd fd_;
-  Loop::Token token_ = 0;
-  http::Outbox out_;
+  EventLoop& loop_;
+  Callbacks& callbacks_;
+  FileDescriptor fd_;
+  EventLoop::WatchId watch_ = 0;
+  OutputBuffer output_;
   bool connecting_ = false;
-  bool reading_ = false;  // within Read: a callback's Resume must not nest
+  bool reading_ = false;  // within Read: a callback's ResumeReading must not nest
   bool readable_ = false;
-  // The kernel tells of an error once, to whichever call comes first; after that the stream looks ended.
+  // The kernel reports an error once, to whichever call comes first; after that the stream looks ended.
   bool broken_ = false;
 };
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
+using dappletiller::Micros;
 using dappletiller::lab::Network;
 using dappletiller::lab::PlayTrial;
 using dappletiller::lab::Trial;
 using dappletiller::lab::World;
-using dappletiller::Micros;
 using dappletiller::membership::State;
 
 constexpr Micros kStep = 50'000;
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -18,7 +18,6 @@
 
 namespace dappletiller::lab {
 
-
 struct Network {
   double loss = 0;      // of datagrams, each way
   Micros delay = 500;   // each way
--- a/src/membership/transport/membership_transport.cpp
+++ b/src/membership/transport/membership_transport.cpp
@@ -29,12 +29,6 @@
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now).count());
 }
 
-std::string Text(const Endpoint& e) {
-  return std::to_string(e.address >> 24) + "." + std::to_string(e.address >> 16 & 255) + "." +
-         std::to_string(e.address >> 8 & 255) + "." + std::to_string(e.address & 255) + ":" +
-         std::to_string(e.port);
-}
-
 membership::Settings Filled(const operators::FleetOptions& options, const std::string& self,
                             const std::string& zone) {
   membership::Settings s = options.view;
@@ -48,11 +42,13 @@
 
 // Datagrams and streams on one port. With port 0 the kernel chooses for streams, and the same may be taken
 // for datagrams: then another is tried.
-Fd BothOn(const Endpoint& where, std::uint16_t* port, Fd* listener) {
+FileDescriptor BothOn(const Endpoint& where, std::uint16_t* port, FileDescriptor* listener) {
   for (int i = 0;; ++i) {
-    *listener = ListenOn(where, 64, "fleet", port);
+    BoundSocket bound = BindTcpListener(where, 64, "fleet");
+    *listener = std::move(bound.fd);
+    *port = bound.port;
     try {
-      return DatagramsOn({where.address, *port}, "fleet", port);
+      return BindUdpSocket({where.address, *port}, "fleet").fd;
     } catch (const std::system_error&) {
       if (where.port != 0 || i == kPairTries) throw;
     }
@@ -60,7 +56,7 @@
 }
 
 operators::FleetOptions Advertised(operators::FleetOptions options, std::uint16_t port) {
-  if (options.advertise.empty()) options.advertise = Text({options.bind.address, port});
+  if (options.advertise.empty()) options.advertise = ToString(Endpoint{options.bind.address, port});
   return options;
 }
 
@@ -97,21 +93,21 @@
 }  // namespace
 
 // One exchange of whole views, on either side: a frame each way, each with its length in front.
-class Peers::Stream final : public Channel::Owner {
+class Peers::Stream final : public StreamSocket::Callbacks {
  public:
   Stream(Peers& peers, std::uint64_t id, bool asking)
-      : channel(peers.loop_, *this), peers_(peers), id_(id), asking_(asking), timer_(peers.loop_) {
+      : socket(peers.loop_, *this), peers_(peers), id_(id), asking_(asking), timer_(peers.loop_) {
     timer_.Set(kStreamTime, [this] { peers_.Drop(id_); });
   }
   void Say(const std::string& frame) {
     auto size = static_cast<std::uint32_t>(frame.size());
     std::string whole;
     for (std::size_t i = 0; i < kLength; ++i) whole.push_back(static_cast<char>(size >> (8 * i)));
-    channel.out().AddOwned(whole + frame);
+    socket.output().AppendOwned(whole + frame);
     said_ = true;
   }
-  std::span<char> Room() override { return room_; }
-  void OnBytes(std::size_t n) override {
+  std::span<char> ReceiveBuffer() override { return room_; }
+  void OnReceived(std::size_t n) override {
     text_.append(room_.data(), n);
     peers_.bytes_in_ += n;
     if (text_.size() < kLength) return;
@@ -138,12 +134,12 @@
       return peers_.Drop(id_);
     }
     Say(peers_.codec_.Encode(reply));
-    channel.Flush();
+    socket.Flush();
     peers_.Carry();
   }
   // The asker closes once it has its answer.
-  void OnGone(StreamEnd) override { peers_.Drop(id_); }
-  Channel channel;
+  void OnClosed(StreamEnd) override { peers_.Drop(id_); }
+  StreamSocket socket;
 
  private:
   Peers& peers_;
@@ -155,7 +151,7 @@
   std::string text_;
 };
 
-Peers::Peers(Loop& loop, Log& log, operators::FleetOptions options, const std::string& self,
+Peers::Peers(EventLoop& loop, Log& log, operators::FleetOptions options, const std::string& self,
              const std::string& zone, PartSink& sink)
     : loop_(loop),
       log_(log),
@@ -175,8 +171,8 @@
 
 Peers::~Peers() {
   streams_.clear();
-  if (datagrams_) loop_.Forget(datagrams_token_, datagrams_.get());
-  if (listener_) loop_.Forget(listener_token_, listener_.get());
+  if (datagrams_) loop_.Unwatch(datagrams_token_, datagrams_.get());
+  if (listener_) loop_.Unwatch(listener_token_, listener_.get());
 }
 
 void Peers::Start() {
@@ -220,7 +216,7 @@
   }
   Carry();
   // A flood has the others wait for a round, not for good.
-  loop_.Again(datagrams_token_, 0);
+  loop_.NotifyAgain(datagrams_token_, 0);
 }
 
 void Peers::Got(const membership::Message& message) {
@@ -285,8 +281,8 @@
   granted_.push_back({now, until, part});
   if (granted_.size() > kGranted) granted_.pop_front();
   if (begun || lost || first) {
-    log_.At(lost ? Log::Level::kWarn : Log::Level::kInfo, "fleet: part of the whole: %.4f%s", part,
-            part > 0 ? "" : "; cold workers get nothing from here until a keeper lends");
+    log_.Write(lost ? Log::Level::kWarn : Log::Level::kInfo, "fleet: part of the whole: %.4f%s", part,
+               part > 0 ? "" : "; cold workers get nothing from here until a keeper lends");
   }
   sink_.Grant(part, until);
 }
@@ -298,8 +294,8 @@
     bool grave = change.event == Event::kDead || change.event == Event::kTwin ||
                  change.event == Event::kDisplaced || change.event == Event::kAlone ||
                  change.event == Event::kPaused;
-    log_.At(grave ? Log::Level::kWarn : Log::Level::kInfo, "fleet: %s %s: %s", change.name.c_str(),
-            Says(change.event), change.why.c_str());
+    log_.Write(grave ? Log::Level::kWarn : Log::Level::kInfo, "fleet: %s %s: %s", change.name.c_str(),
+               Says(change.event), change.why.c_str());
   }
 }
 
@@ -328,7 +324,7 @@
         auto stream = std::make_unique<Stream>(*this, id, true);
         stream->Say(bytes);
         bytes_out_ += bytes.size();
-        if (stream->channel.Connect(where)) streams_[id] = std::move(stream);
+        if (stream->socket.Connect(where)) streams_[id] = std::move(stream);
         continue;
       }
       sockaddr_in to{};
@@ -347,7 +343,7 @@
 
 void Peers::Accept() {
   for (;;) {
-    Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
       return;
@@ -358,7 +354,7 @@
     auto stream = std::make_unique<Stream>(*this, id, false);
     Stream& begun = *stream;
     streams_[id] = std::move(stream);
-    if (!begun.channel.Adopt(std::move(fd))) Drop(id);
+    if (!begun.socket.Adopt(std::move(fd))) Drop(id);
   }
 }
 
@@ -367,8 +363,8 @@
   if (it == streams_.end()) return;
   auto owned = std::move(it->second);
   streams_.erase(it);
-  owned->channel.Close();
-  loop_.Dispose(std::move(owned));
+  owned->socket.Close();
+  loop_.DeferDelete(std::move(owned));
 }
 
 void Peers::Leave() {
@@ -392,7 +388,7 @@
     }
   }
   view_.Leave(now, &out_);
-  log_.Line("fleet: leaving, %zu others are told", view_.living());
+  log_.Info("fleet: leaving, %zu others are told", view_.living());
   Carry();
 }
 
--- a/src/membership/transport/membership_transport.hpp
+++ b/src/membership/transport/membership_transport.hpp
@@ -34,7 +34,7 @@
   ~PartSink() = default;
 };
 
-class Peers final : private EventSink {
+class Peers final : private EventHandler {
  public:
   static constexpr int kDatagramsARound = 64;
   static constexpr std::size_t kMostStreams = 16;
@@ -42,7 +42,7 @@
   static constexpr Micros kStreamTime = 3'000'000;
 
   // `self` and `zone` where the options leave them open.
-  Peers(Loop& loop, Log& log, operators::FleetOptions options, const std::string& self,
+  Peers(EventLoop& loop, Log& log, operators::FleetOptions options, const std::string& self,
         const std::string& zone, PartSink& sink);
   ~Peers();
   void Start();  // throws std::system_error
@@ -76,18 +76,18 @@
   void Refused(membership::Refusal why);
   void Accept();
 
-  struct Listening final : EventSink {
+  struct Listening final : EventHandler {
     explicit Listening(Peers& p) : peers(p) {}
     void OnReady(std::uint32_t) override { peers.Accept(); }
     Peers& peers;
   };
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   // Bound before all else: what others reach must be known before anything is said.
   std::uint16_t port_ = 0;
-  Fd listener_;
-  Fd datagrams_;
+  FileDescriptor listener_;
+  FileDescriptor datagrams_;
   operators::FleetOptions options_;
   PartSink& sink_;
   membership::Codec codec_;
@@ -95,7 +95,7 @@
   std::optional<limits::Keeper> keeper_;
   std::optional<limits::Holder> holder_;
   std::vector<membership::Out> out_;
-  Loop::Token datagrams_token_ = 0, listener_token_ = 0;
+  EventLoop::WatchId datagrams_token_ = 0, listener_token_ = 0;
   Listening listening_{*this};
   Timer tick_;
   std::uint64_t ids_ = 0;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -99,17 +99,17 @@
   return set;
 }
 
-class Proxy final : private EventSink, private ConsoleHandler, private PartSink, private SettingsSink {
+class Proxy final : private EventHandler, private ConsoleHandler, private PartSink, private SettingsSink {
  public:
   Proxy(Log& log, Config config, const std::string& operator_path)
       : log_(log),
         config_(std::move(config)),
         operator_path_(operator_path),
         gateway_(loop_, log_, config_.settings),
-        budget_(config_.sockets - kOwnDescriptors, config_.sockets / kKeptPart),
+        descriptors_(config_.sockets - kOwnDescriptors, config_.sockets / kKeptPart),
         long_bodies_(std::make_shared<BodyMemory>(config_.memory / kLongBodiesPart)),
-        workers_(loop_, log_, gateway_, budget_, Reaching(config_), long_bodies_),
-        acceptor_(loop_, log_, gateway_, budget_, Accepting(config_, long_bodies_)),
+        workers_(loop_, log_, gateway_, descriptors_, Reaching(config_), long_bodies_),
+        acceptor_(loop_, log_, gateway_, descriptors_, Accepting(config_, long_bodies_)),
         discovery_(loop_, log_, gateway_,
                    {config_.discovery, config_.discovery_text, config_.names, config_.known.version,
                     config_.settings.ask_within, !config_.settings.list_on_request, config_.settings.seed}),
@@ -118,7 +118,7 @@
     gateway_.Connect(workers_, discovery_);
     if (operator_path_.empty()) return;
     operators::OperatorFile file = operators::LoadOperatorFile(operator_path_);
-    log_.Shape(file.log_json, Log::ParseLevel(file.log_level));
+    log_.Configure(file.log_json ? Log::Format::kJson : Log::Format::kText, Log::ParseLevel(file.log_level));
     if (file.settings_feed) {
       feed::FollowerOptions following;
       following.self = config_.name;
@@ -149,18 +149,18 @@
     discovery_.Start();
     if (auto at = ConsoleAt(config_)) {
       console_.Listen(*at);
-      log_.Always("console on port %u", console_.port());
+      log_.Important("console on port %u", console_.port());
     }
     if (peers_) {
       peers_->Start();
-      log_.Always("fleet on port %u as %s at %s", peers_->port(), peers_->view().self().name.c_str(),
-                  peers_->view().self().address.c_str());
+      log_.Important("fleet on port %u as %s at %s", peers_->port(), peers_->view().self().name.c_str(),
+                     peers_->view().self().address.c_str());
     }
     if (feed_) feed_->Start();
-    log_.Always("started as %s on port %u with %zu workers known", config_.name.c_str(), acceptor_.port(),
-                config_.known.entries.size());
+    log_.Important("started as %s on port %u with %zu workers known", config_.name.c_str(), acceptor_.port(),
+                   config_.known.entries.size());
     loop_.Run();
-    log_.Always("stopped");
+    log_.Important("stopped");
   }
 
  private:
@@ -187,7 +187,7 @@
       case Verb::kLameduckOff: {
         bool on = command.verb == Verb::kLameduckOn;
         if (on != acceptor_.lameduck()) {
-          log_.Line("lame duck %s: %zu client connections", on ? "on" : "off", acceptor_.connections());
+          log_.Info("lame duck %s: %zu client connections", on ? "on" : "off", acceptor_.connections());
         }
         acceptor_.Lameduck(on);
         return {200, on ? "lame duck" : "serving"};
@@ -245,7 +245,7 @@
     std::optional<feed::TenantValue> tenant;
     if (effect.value) tenant = feed::ReadTenant(*effect.value, &why);
     if (effect.value && !tenant)
-      return log_.Line("settings feed: tenant %s: %s; it keeps what it had", effect.name.c_str(),
+      return log_.Info("settings feed: tenant %s: %s; it keeps what it had", effect.name.c_str(),
                        why.c_str());
     int place = tenant ? acceptor_.NameTenant(effect.name) : acceptor_.ForgetTenant(effect.name);
     if (place < 0) return;
@@ -260,7 +260,7 @@
     if (!effect.value) return;
     auto value = feed::ReadClass(*effect.value, &why);
     if (!value)
-      return log_.Line("settings feed: class %s: %s; it keeps what it had", effect.name.c_str(), why.c_str());
+      return log_.Info("settings feed: class %s: %s; it keeps what it had", effect.name.c_str(), why.c_str());
     auto as = value->effect == feed::ClassEffect::kFree      ? sandstand::Effect::kSafe
               : value->effect == feed::ClassEffect::kGuarded ? sandstand::Effect::kKeyed
                                                              : sandstand::Effect::kUnsafe;
@@ -282,7 +282,7 @@
     std::ostringstream text;
     text << file.rdbuf();
     auto held = state::HeldFromJson(text.str());
-    if (!held) return log_.Line("held workers: %s is not whole or not ours; ignored", HeldPath().c_str());
+    if (!held) return log_.Info("held workers: %s is not whole or not ours; ignored", HeldPath().c_str());
     gateway_.Restore(std::move(*held));
   }
 
@@ -293,20 +293,20 @@
       std::ofstream file(temporary, std::ios::binary | std::ios::trunc);
       file << state::HeldToJson(gateway_.held());
       if (!file.flush()) {
-        log_.Line("held workers: %s cannot be written; a successor will not know them", temporary.c_str());
+        log_.Info("held workers: %s cannot be written; a successor will not know them", temporary.c_str());
         return;
       }
     }
     std::error_code failed;
     std::filesystem::rename(temporary, path, failed);
-    if (failed) log_.Line("held workers: %s: %s", path.c_str(), failed.message().c_str());
+    if (failed) log_.Info("held workers: %s: %s", path.c_str(), failed.message().c_str());
   }
 
   static WorkerLimits Reaching(const Config& config) { return {config.dial_timeout, config.idle_timeout}; }
 
   void CatchSignals() {
     sigset_t set = OurSignals();
-    signals_ = Fd(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    signals_ = FileDescriptor(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     loop_.Watch(signals_.get(), this);
   }
 
@@ -320,7 +320,7 @@
     if (reload) Reload();
     if (!leave || stopping_) return;
     stopping_ = true;
-    log_.Line("leaving: %zu calls open, %zu client connections", gateway_.open_calls(),
+    log_.Info("leaving: %zu calls open, %zu client connections", gateway_.open_calls(),
               acceptor_.connections());
     answer_by_ = loop_.Now() + std::min(config_.longest_deadline, kMostDeadline) + kAnswerBy;
     acceptor_.Drain(answer_by_);
@@ -339,12 +339,12 @@
       fresh = Load();
       if (!operator_path_.empty()) file = operators::LoadOperatorFile(operator_path_);
     } catch (const std::exception& e) {  // guards against a bad file ending a proxy that serves
-      log_.Always("reload: the old configuration stays: %s", e.what());
+      log_.Important("reload: the old configuration stays: %s", e.what());
       return;
     }
     bool later = fresh.settings_text != config_.settings_text || !(fresh.listen == config_.listen);
     bool moved = !(fresh.discovery == config_.discovery);
-    budget_.Resize(fresh.sockets - kOwnDescriptors, fresh.sockets / kKeptPart);
+    descriptors_.Resize(fresh.sockets - kOwnDescriptors, fresh.sockets / kKeptPart);
     acceptor_.Resize(fresh.sockets / kPlacesPart);
     workers_.SetLimits(Reaching(fresh));
     if (moved) discovery_.Move(fresh.discovery, fresh.discovery_text);
@@ -353,18 +353,19 @@
       acceptor_.Retune(classes.classes, classes.patience, classes.effects);
       RetakeClasses();
     }
-    log_.Always("reload: done, discovery %s %s%s", moved ? "moves to" : "stays at",
-                fresh.discovery_text.c_str(),
-                later ? "; classes are taken, the rest of what changed needs a restart" : "");
+    log_.Important("reload: done, discovery %s %s%s", moved ? "moves to" : "stays at",
+                   fresh.discovery_text.c_str(),
+                   later ? "; classes are taken, the rest of what changed needs a restart" : "");
     if (!operator_path_.empty()) {
-      log_.Shape(file.log_json, Log::ParseLevel(file.log_level));
+      log_.Configure(file.log_json ? Log::Format::kJson : Log::Format::kText,
+                     Log::ParseLevel(file.log_level));
       bool whole = peers_.has_value() == file.fleet.has_value();
       if (peers_ && file.fleet) whole = peers_->Reload(std::move(*file.fleet));
       if (follower_ && file.settings_feed) ReloadFeed(*file.settings_feed);
       if (follower_.has_value() != file.settings_feed.has_value())
-        log_.Line("reload: [settings_feed] needs a restart to come or go");
-      log_.Always("reload: %s read%s", operator_path_.c_str(),
-                  whole ? "" : "; the fleet's name, addresses and parts need a restart to change");
+        log_.Info("reload: [settings_feed] needs a restart to come or go");
+      log_.Important("reload: %s read%s", operator_path_.c_str(),
+                     whole ? "" : "; the fleet's name, addresses and parts need a restart to change");
     }
     // The module goes on with the settings and the listener that it has.
     config_.discovery = fresh.discovery;
@@ -397,7 +398,7 @@
     bool empty = acceptor_.closed() && acceptor_.connections() == 0;
     if (gateway_.open_calls() == 0 && empty && told) return loop_.Stop();
     if (now >= answer_by_ + kLastAnswers) {
-      log_.Line("out of time: %zu client connections end as they are", acceptor_.connections());
+      log_.Info("out of time: %zu client connections end as they are", acceptor_.connections());
       return loop_.Stop();
     }
     drain_timer_.Set(kLookEvery, [this] { Leave(); });
@@ -406,9 +407,9 @@
   Log& log_;
   Config config_;
   std::string operator_path_;  // empty: the platform's way, without an operator file
-  Loop loop_;
+  EventLoop loop_;
   Gateway gateway_;
-  Budget budget_;
+  DescriptorLimit descriptors_;
   std::shared_ptr<BodyMemory> long_bodies_;
   WorkerLinks workers_;
   Acceptor acceptor_;
@@ -417,7 +418,7 @@
   std::optional<Peers> peers_;
   std::optional<feed::Follower> follower_;
   std::optional<SettingsFeed> feed_;
-  Fd signals_;
+  FileDescriptor signals_;
   Timer drain_timer_;
   bool stopping_ = false;
   Micros answer_by_ = 0;  // once stopping
@@ -436,7 +437,7 @@
     proxy.Run();
     return 0;
   } catch (const std::exception& e) {
-    log.Line("cannot start: %s", e.what());
+    log.Info("cannot start: %s", e.what());
     return 1;
   }
 }
--- a/src/rig/fleet.cpp
+++ b/src/rig/fleet.cpp
@@ -27,12 +27,6 @@
 constexpr Micros kStartLimit = 20'000'000;
 constexpr ColdModel kCold;
 
-std::string Text(const Endpoint& e) {
-  return std::to_string(e.address >> 24) + "." + std::to_string(e.address >> 16 & 255) + "." +
-         std::to_string(e.address >> 8 & 255) + "." + std::to_string(e.address & 255) + ":" +
-         std::to_string(e.port);
-}
-
 std::string ZoneName(int zone) { return std::string(1, static_cast<char>('a' + zone)); }
 
 void Write(const std::filesystem::path& path, const std::string& text) {
@@ -98,7 +92,7 @@
 }
 
 Fleet::~Fleet() {
-  if (signals_) loop_.Forget(signals_token_, signals_.get());
+  if (signals_) loop_.Unwatch(signals_token_, signals_.get());
 }
 
 void Fleet::Say(const std::string& text) {
@@ -155,7 +149,7 @@
   for (const auto& [name, worker] : workers_) {
     if (!listed_[name]) continue;
     if (!list.empty()) list += ",";
-    list += "{\"uid\":\"" + name + "\",\"endpoint\":\"" + Text(slot->workers[name]) + "\",\"az\":\"" +
+    list += "{\"uid\":\"" + name + "\",\"endpoint\":\"" + ToString(slot->workers[name]) + "\",\"az\":\"" +
             ZoneName(worker_zone_[name]) + "\",\"model\":\"m\",\"pod_group\":0,\"state\":\"" +
             (worker->draining() ? "draining" : "up") +
             "\",\"capacity_hint\":" + std::to_string(script_.size) +
@@ -172,8 +166,8 @@
   std::ostringstream text;
   text
       << "{\"name\":\"" << slot.party.name
-      << "\",\"listen\":\"127.0.0.1:0\",\"console\":\"127.0.0.1:0\",\"discovery\":\"" << Text(slot.discovery)
-      << "\",\"seed\":\"" << seed
+      << "\",\"listen\":\"127.0.0.1:0\",\"console\":\"127.0.0.1:0\",\"discovery\":\""
+      << ToString(slot.discovery) << "\",\"seed\":\"" << seed
       << "\",\"limits\":{\"cores\":1.0,\"memory_mb\":512,\"sockets\":2048},\"known\":{\"rev\":0,\"all\":true,"
          "\"targets\":["
       << ListFor(slot.party.slot) << "]},\"settings\":{\"balancers\":" << script_.gateways << ",\"zones\":["
@@ -199,7 +193,7 @@
     text << (i == 1 ? "" : ", ") << "\"127.64.0." << i << ":7946\"";
   text << "]\n" << (slot.lines.empty() ? script_.operator_text : slot.lines) << "\n[fleet.addresses]\n";
   for (const auto& [address, dialled] : slot.dials)
-    text << "\"" << address << "\" = \"" << Text(dialled) << "\"\n";
+    text << "\"" << address << "\" = \"" << ToString(dialled) << "\"\n";
   if (script_.keepers > 0) {
     text << "[fleet.parts]\nkeepers = [";
     for (int i = 1; i <= script_.keepers; ++i) text << (i == 1 ? "" : ", ") << "\"p" << i << "\"";
@@ -343,14 +337,14 @@
       slot->wanted = false;
     }
   }
-  loop_.At(loop_.Now() + kReapEvery, [this] { Reap(); });
+  loop_.ScheduleAt(loop_.Now() + kReapEvery, [this] { Reap(); });
 }
 
 // ---- What processes say ----
 
 void Fleet::Poll() {
   for (auto& [name, slot] : slots_) Look(*slot);
-  loop_.At(loop_.Now() + kPollEvery, [this] { Poll(); });
+  loop_.ScheduleAt(loop_.Now() + kPollEvery, [this] { Poll(); });
 }
 
 void Fleet::Look(Slot& slot) {
@@ -458,14 +452,15 @@
   if (std::find(active_.begin(), active_.end(), &fault) == active_.end()) return;
   flap_off_[&fault] = !flap_off_[&fault];
   Rethink();
-  loop_.At(loop_.Now() + fault.period / 2, [this, &fault] { Flip(fault); });
+  loop_.ScheduleAt(loop_.Now() + fault.period / 2, [this, &fault] { Flip(fault); });
 }
 
 void Fleet::Stagger(const Fault& fault, Slot& slot, Micros until) {
   if (loop_.Now() >= until) return;
   Stop(slot, true);
-  loop_.At(loop_.Now() + static_cast<Micros>(fault.value * 1000), [this, &slot] { Stop(slot, false); });
-  loop_.At(loop_.Now() + fault.period, [this, &fault, &slot, until] { Stagger(fault, slot, until); });
+  loop_.ScheduleAt(loop_.Now() + static_cast<Micros>(fault.value * 1000),
+                   [this, &slot] { Stop(slot, false); });
+  loop_.ScheduleAt(loop_.Now() + fault.period, [this, &fault, &slot, until] { Stagger(fault, slot, until); });
 }
 
 void Fleet::Begin(const Fault& fault) {
@@ -473,7 +468,8 @@
   if (OnLinks(fault.act)) {
     active_.push_back(&fault);
     Rethink();
-    if (fault.act == Act::kFlap) loop_.At(loop_.Now() + fault.period / 2, [this, &fault] { Flip(fault); });
+    if (fault.act == Act::kFlap)
+      loop_.ScheduleAt(loop_.Now() + fault.period / 2, [this, &fault] { Flip(fault); });
     return;
   }
   if (fault.act == Act::kDrain || fault.act == Act::kNewWorker) {
@@ -566,10 +562,7 @@
 // and starts are far on, that there are members which there aren't; and garbage. In the name of `who`, to
 // all the others, `value` datagrams a second in all.
 void Fleet::Lie(const Fault& fault, Micros until) {
-  if (!liar_) {
-    std::uint16_t port = 0;
-    liar_ = DatagramsOn({kLoopback, 0}, "liar", &port);
-  }
+  if (!liar_) liar_ = BindUdpSocket({kLoopback, 0}, "liar").fd;
   const std::string name = fault.who.empty() ? "liar" : fault.who[0];
   Slot* self = Find(name);
   std::vector<Slot*> others;
@@ -644,7 +637,7 @@
              sizeof at);
   }
   if (loop_.Now() + kBatch < until)
-    loop_.At(loop_.Now() + kBatch, [this, &fault, until] { Lie(fault, until); });
+    loop_.ScheduleAt(loop_.Now() + kBatch, [this, &fault, until] { Lie(fault, until); });
 }
 
 // ---- The run ----
@@ -681,7 +674,7 @@
   Say(std::to_string(running) + " processes; last second " + std::to_string(by[Fared::kServed]) +
       " served, " + std::to_string(by[Fared::kRefused]) + " refused, " + std::to_string(others) +
       " lost or failed" + (views.empty() ? "" : "; see" + views));
-  loop_.At(loop_.Now() + 1'000'000, [this] { Progress(); });
+  loop_.ScheduleAt(loop_.Now() + 1'000'000, [this] { Progress(); });
 }
 
 bool Fleet::Run() {
@@ -690,7 +683,7 @@
   for (int number : {SIGINT, SIGTERM, SIGHUP}) ::sigaddset(&set, number);
   ::sigprocmask(SIG_BLOCK, &set, nullptr);
   ::signal(SIGPIPE, SIG_IGN);
-  signals_ = Fd(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+  signals_ = FileDescriptor(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
   signals_token_ = loop_.Watch(signals_.get(), this);
   for (int i = 1; i <= script_.at_start; ++i) Begin(*slots_["p" + std::to_string(i)]);
   Reap();
@@ -701,7 +694,7 @@
     }
     return true;
   };
-  while (!ready() && !interrupted_ && crashes_.empty() && loop_.Now() < limit) loop_.Round(10'000);
+  while (!ready() && !interrupted_ && crashes_.empty() && loop_.Now() < limit) loop_.RunOnce(10'000);
   if (interrupted_ || !crashes_.empty() || !ready()) {
     std::fprintf(stderr, "dappletiller-rig: %s\n",
                  interrupted_       ? "interrupted"
@@ -711,12 +704,12 @@
   }
   began_ = loop_.Now();
   for (const Fault& fault : script_.faults) {
-    loop_.At(began_ + fault.at, [this, &fault] { Begin(fault); });
-    if (fault.span > 0) loop_.At(began_ + fault.at + fault.span, [this, &fault] { End(fault); });
+    loop_.ScheduleAt(began_ + fault.at, [this, &fault] { Begin(fault); });
+    if (fault.span > 0) loop_.ScheduleAt(began_ + fault.at + fault.span, [this, &fault] { End(fault); });
     last_fault_ = std::max(last_fault_, began_ + fault.at + fault.span);
   }
   if (last_fault_ == 0) last_fault_ = began_;
-  loop_.At(began_ + script_.length, [this] { loop_.Stop(); });
+  loop_.ScheduleAt(began_ + script_.length, [this] { loop_.Stop(); });
   Poll();
   if (!options_.quiet) Progress();
   loop_.Run();
--- a/src/rig/fleet.hpp
+++ b/src/rig/fleet.hpp
@@ -30,7 +30,7 @@
   bool keep = false;  // the processes' folders and logs stay in `out`
 };
 
-class Fleet final : private EventSink {
+class Fleet final : private EventHandler {
  public:
   // Throws std::system_error and std::runtime_error where the machine doesn't give what is needed.
   Fleet(Script script, Options options);
@@ -96,7 +96,7 @@
 
   Script script_;
   Options options_;
-  Loop loop_;
+  EventLoop loop_;
   Ledger ledger_;
   Links links_;
   pcg64 random_;
@@ -107,11 +107,11 @@
   std::map<std::string, int> worker_zone_;
   std::map<std::string, bool> listed_;
   std::unique_ptr<StandInDiscovery> discovery_;
-  Fd signals_;
-  Loop::Token signals_token_ = 0;
+  FileDescriptor signals_;
+  EventLoop::WatchId signals_token_ = 0;
   membership::Codec codec_;
   std::map<std::string, std::string> keys_;  // by name; "first" is all processes' at the start
-  Fd liar_;
+  FileDescriptor liar_;
   std::uint64_t lies_ = 0;
   std::vector<const Fault*> active_;
   std::map<const Fault*, bool> flap_off_;
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -7,6 +7,7 @@
 #include <sstream>
 #include <utility>
 
+#include "base/payload.hpp"
 #include "config_feed/in_force.hpp"
 #include "config_feed/values.hpp"
 #include "discovery/retry_schedule.hpp"
@@ -54,7 +55,7 @@
   }
 }
 
-ByFeed::ByFeed(Loop& loop, Log& log, std::string path, feed::FollowerOptions options,
+ByFeed::ByFeed(EventLoop& loop, Log& log, std::string path, feed::FollowerOptions options,
                std::function<void(std::uint64_t)> taken)
     : start_(std::move(path)),
       follower_(options),
@@ -114,7 +115,7 @@
   return config;
 }
 
-Hollow::Hollow(Loop& loop, Log& log, HollowWorld& world, SettingsWay& way, HollowOptions options)
+Hollow::Hollow(EventLoop& loop, Log& log, HollowWorld& world, SettingsWay& way, HollowOptions options)
     : loop_(loop),
       world_(world),
       way_(way),
@@ -186,7 +187,7 @@
                    : drains     ? AttemptEnd::kTurnedAway
                                 : AttemptEnd::kAnswered;
   AttemptKey key = attempt.key;
-  out_[key] = loop_.At(now + takes, [this, key, end] {
+  out_[key] = loop_.ScheduleAt(now + takes, [this, key, end] {
     out_.erase(key);
     gateway_.Ended(key, end, nullptr);
   });
--- a/src/rig/hollow.hpp
+++ b/src/rig/hollow.hpp
@@ -69,8 +69,8 @@
 // tenants of one service. What the proxy starts with is a file that names no tenants.
 class ByFeed final : public SettingsWay, private SettingsSink {
  public:
-  // `taken`: a version is in force. Loop and log outlive it.
-  ByFeed(Loop& loop, Log& log, std::string path, feed::FollowerOptions options,
+  // `taken`: a version is in force. EventLoop and log outlive it.
+  ByFeed(EventLoop& loop, Log& log, std::string path, feed::FollowerOptions options,
          std::function<void(std::uint64_t version)> taken);
   Config First() override { return start_.First(); }
   void Signal() override {}
@@ -128,7 +128,7 @@
 class Hollow final : private Workers, private PartSink {
  public:
   // Throws ConfigError, std::system_error. World, way and log outlive it.
-  Hollow(Loop& loop, Log& log, HollowWorld& world, SettingsWay& way, HollowOptions options);
+  Hollow(EventLoop& loop, Log& log, HollowWorld& world, SettingsWay& way, HollowOptions options);
   ~Hollow();
   Hollow(const Hollow&) = delete;
   Hollow& operator=(const Hollow&) = delete;
@@ -159,7 +159,7 @@
   void Next();
   void Arrive();
 
-  Loop& loop_;
+  EventLoop& loop_;
   HollowWorld& world_;
   SettingsWay& way_;
   HollowOptions options_;
@@ -170,7 +170,7 @@
   pcg32 random_;
   Timer next_;
   std::vector<Place> places_;  // by the gateway's number
-  std::unordered_map<AttemptKey, Loop::TimerKey, AttemptKeyHash> out_;
+  std::unordered_map<AttemptKey, EventLoop::TimerKey, AttemptKeyHash> out_;
   std::unordered_map<CallId, std::unique_ptr<Request>> requests_;
   std::size_t open_ = 0;
   bool touched_ = false;
--- a/src/rig/links.cpp
+++ b/src/rig/links.cpp
@@ -38,13 +38,13 @@
   return wait;
 }
 
-class Links::Datagrams final : private EventSink {
+class Links::Datagrams final : private EventHandler {
  public:
-  Datagrams(Links& links, Pair pair, std::uint16_t port, Fd fd)
+  Datagrams(Links& links, Pair pair, std::uint16_t port, FileDescriptor fd)
       : links_(links), pair_(std::move(pair)), port_(port), fd_(std::move(fd)) {
     token_ = links_.loop_.Watch(fd_.get(), this);
   }
-  ~Datagrams() { links_.loop_.Forget(token_, fd_.get()); }
+  ~Datagrams() { links_.loop_.Unwatch(token_, fd_.get()); }
 
  private:
   void OnReady(std::uint32_t) override {
@@ -84,7 +84,7 @@
         Send(bytes);
         continue;
       }
-      links_.loop_.At(now + wait, [this, bytes] {
+      links_.loop_.ScheduleAt(now + wait, [this, bytes] {
         // A cut also swallows what is on its way.
         if (!links_.states_[pair_].cut) Send(bytes);
       });
@@ -105,8 +105,8 @@
   Links& links_;
   Pair pair_;
   std::uint16_t port_;
-  Fd fd_;
-  Loop::Token token_ = 0;
+  FileDescriptor fd_;
+  EventLoop::WatchId token_ = 0;
   Micros free_at_ = 0;
 };
 
@@ -121,7 +121,7 @@
         back_(*this, {pair_.second, pair_.first}) {}
   ~Stream() { links_.senders_.Forget(way_, id_); }
 
-  bool Begin(Fd fd) { return there_.channel.Adopt(std::move(fd)); }
+  bool Begin(FileDescriptor fd) { return there_.socket.Adopt(std::move(fd)); }
 
   // Goes on with whatever waited for a cut to end.
   void Wake() {
@@ -132,12 +132,14 @@
 
  private:
   // Reads from its own channel and writes, shaped, to the other side's.
-  struct Side final : Channel::Owner {
+  struct Side final : StreamSocket::Callbacks {
     Side(Stream& s, Pair p)
-        : stream(s), pair(std::move(p)), channel(s.links_.loop_, *this), timer(s.links_.loop_) {}
+        : stream(s), pair(std::move(p)), socket(s.links_.loop_, *this), timer(s.links_.loop_) {}
     Side& other() { return this == &stream.there_ ? stream.back_ : stream.there_; }
-    std::span<char> Room() override { return queued < kQueue ? std::span<char>(room) : std::span<char>(); }
-    void OnBytes(std::size_t n) override {
+    std::span<char> ReceiveBuffer() override {
+      return queued < kQueue ? std::span<char>(room) : std::span<char>();
+    }
+    void OnReceived(std::size_t n) override {
       LinkState& state = stream.links_.states_[pair];
       stream.links_.counts_[pair].bytes += n;
       Micros now = stream.links_.loop_.Now();
@@ -156,7 +158,7 @@
       Push();
     }
     void OnConnected() override { stream.Wake(); }
-    void OnGone(StreamEnd how) override {
+    void OnClosed(StreamEnd how) override {
       ended = true;
       broken = how == StreamEnd::kBroken;
       Push();
@@ -168,25 +170,25 @@
       bool wrote = false;
       while (!queue.empty() && queue.front().first <= now) {
         queued -= queue.front().second.size();
-        if (to.channel.open()) to.channel.out().AddOwned(std::move(queue.front().second));
+        if (to.socket.open()) to.socket.output().AppendOwned(std::move(queue.front().second));
         queue.pop_front();
         wrote = true;
       }
       if (wrote) {
-        if (to.channel.open()) to.channel.Flush();
-        channel.Resume();
+        if (to.socket.open()) to.socket.Flush();
+        socket.ResumeReading();
       }
       if (!queue.empty()) {
         timer.Set(queue.front().first - now, [this] { Push(); });
       } else if (ended && (stream.dialled_ || this == &stream.there_)) {
         // What this side said is all passed on: the other side may know that it has gone, and how.
-        if (broken) to.channel.Break();
+        if (broken) to.socket.Abort();
         stream.End();
       }
     }
     Stream& stream;
     Pair pair;
-    Channel channel;
+    StreamSocket socket;
     Timer timer;
     std::array<char, 16384> room;
     std::deque<std::pair<Micros, std::string>> queue;
@@ -199,19 +201,19 @@
   void Dial() {
     const Endpoint& real = links_.real_[pair_.second];
     dialled_ = true;
-    if (real.port == 0 || !back_.channel.Connect(real)) return End();
-    way_ = {real.port, back_.channel.local_port()};
+    if (real.port == 0 || !back_.socket.Connect(real)) return End();
+    way_ = {real.port, back_.socket.local_port()};
     links_.senders_.Say(way_, id_, pair_.first);
   }
 
   void End() {
     auto it = links_.streams_.find(id_);
     if (it == links_.streams_.end()) return;
-    there_.channel.Close();
-    back_.channel.Close();
+    there_.socket.Close();
+    back_.socket.Close();
     there_.timer.Clear();
     back_.timer.Clear();
-    links_.loop_.Dispose(std::move(it->second));
+    links_.loop_.DeferDelete(std::move(it->second));
     links_.streams_.erase(it);
   }
 
@@ -223,18 +225,18 @@
   Callers::Way way_;
 };
 
-class Links::Streams final : private EventSink {
+class Links::Streams final : private EventHandler {
  public:
-  Streams(Links& links, Pair pair, std::uint16_t port, Fd fd)
+  Streams(Links& links, Pair pair, std::uint16_t port, FileDescriptor fd)
       : links_(links), pair_(std::move(pair)), port_(port), fd_(std::move(fd)) {
     token_ = links_.loop_.Watch(fd_.get(), this);
   }
-  ~Streams() { links_.loop_.Forget(token_, fd_.get()); }
+  ~Streams() { links_.loop_.Unwatch(token_, fd_.get()); }
 
  private:
   void OnReady(std::uint32_t) override {
     for (;;) {
-      Fd fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+      FileDescriptor fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (!fd) return;
       if (links_.shut_.contains(port_)) continue;
       std::uint64_t id = ++links_.ids_;
@@ -252,11 +254,11 @@
   Links& links_;
   Pair pair_;
   std::uint16_t port_;
-  Fd fd_;
-  Loop::Token token_ = 0;
+  FileDescriptor fd_;
+  EventLoop::WatchId token_ = 0;
 };
 
-Links::Links(Loop& loop, std::uint64_t seed) : loop_(loop), random_(seed) {}
+Links::Links(EventLoop& loop, std::uint64_t seed) : loop_(loop), random_(seed) {}
 
 Links::~Links() {
   streams_.clear();
@@ -267,12 +269,13 @@
 Endpoint Links::Open(const std::string& from, const std::string& to, bool datagrams) {
   // Both kinds on one port, as a peer has them: the kernel chooses for streams, and the other may be taken.
   for (int i = 0;; ++i) {
-    std::uint16_t port = 0;
-    Fd listener = ListenOn({kLoopback, 0}, 64, "relay", &port);
+    BoundSocket bound = BindTcpListener({kLoopback, 0}, 64, "relay");
+    const std::uint16_t port = bound.port;
+    FileDescriptor listener = std::move(bound.fd);
     if (datagrams) {
-      Fd fd;
+      FileDescriptor fd;
       try {
-        fd = DatagramsOn({kLoopback, port}, "relay", &port);
+        fd = BindUdpSocket({kLoopback, port}, "relay").fd;
       } catch (const std::system_error&) {
         if (i == kPairTries) throw;
         continue;
--- a/src/rig/links.hpp
+++ b/src/rig/links.hpp
@@ -68,7 +68,7 @@
   static constexpr std::size_t kQueue = 256 * 1024;
   static constexpr Micros kReorderBy = 50'000;
 
-  Links(Loop& loop, std::uint64_t seed);
+  Links(EventLoop& loop, std::uint64_t seed);
   ~Links();
 
   // Where `from` reaches `to`: one port for datagrams (if asked for) and streams. Throws std::system_error.
@@ -97,7 +97,7 @@
   bool Chance(double p) { return p > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < p; }
   Micros Wait(const LinkState& state);
 
-  Loop& loop_;
+  EventLoop& loop_;
   pcg32 random_;
   std::map<std::string, Endpoint> real_;
   std::map<Pair, LinkState> states_;
--- a/src/rig/measure.cpp
+++ b/src/rig/measure.cpp
@@ -12,6 +12,7 @@
 #include <optional>
 #include <pcg_random.hpp>
 
+#include "base/payload.hpp"
 #include "config/platform_config.hpp"
 #include "dispatch/request_dispatcher.hpp"
 #include "io/event_loop.hpp"
@@ -87,7 +88,7 @@
 void ServersRow(const MeasureSizes& sizes, int servers) {
   std::unique_ptr<std::FILE, int (*)(std::FILE*)> nowhere(std::fopen("/dev/null", "w"), &std::fclose);
   Log log(nowhere.get(), "measure");
-  Loop loop;
+  EventLoop loop;
   Answering workers;
   NoList source;
   Config config = ParseConfig(ScaleConfig(Small(100), "m", 0, "127.0.0.1:1", "1", 1));
@@ -154,7 +155,7 @@
       }
     }
     requests += Cpu() - a;
-    loop.Round(0);
+    loop.RunOnce(0);
   }
   std::printf("%d %zu %.3f %.3f %zu %.3f %.3f %.3f %.3f\n", servers, bytes, whole_ms, mb, change_bytes,
               parse / steps * 1e6, apply / steps * 1e6, most * 1e6,
@@ -164,7 +165,7 @@
 void TenantsRow(const MeasureSizes& sizes, int tenants) {
   std::unique_ptr<std::FILE, int (*)(std::FILE*)> nowhere(std::fopen("/dev/null", "w"), &std::fclose);
   Log log(nowhere.get(), "measure");
-  Loop loop;
+  EventLoop loop;
   std::string text = ScaleConfig(Small(tenants), "m", 0, "127.0.0.1:1", "1", 1);
   double before_mb = ResidentMb();
   std::optional<Config> config;
--- a/src/rig/process.cpp
+++ b/src/rig/process.cpp
@@ -17,16 +17,16 @@
 Process::~Process() {
   Signal(SIGKILL);
   if (pid_ > 0) ::waitpid(pid_, nullptr, 0);
-  if (out_) loop_.Forget(token_, out_.get());
+  if (out_) loop_.Unwatch(token_, out_.get());
 }
 
 void Process::Start(const std::vector<std::string>& words, const std::vector<std::string>& environment) {
   std::array<int, 2> ends;
   if (::pipe2(ends.data(), O_CLOEXEC | O_NONBLOCK) != 0)
     throw std::system_error(errno, std::generic_category(), "pipe2");
-  if (out_) loop_.Forget(token_, out_.get());
-  out_ = Fd(ends[0]);
-  Fd in(ends[1]);
+  if (out_) loop_.Unwatch(token_, out_.get());
+  out_ = FileDescriptor(ends[0]);
+  FileDescriptor in(ends[1]);
   text_.clear();
   std::vector<char*> args, env;
   for (const std::string& word : words) args.push_back(const_cast<char*>(word.c_str()));
--- a/src/rig/process.hpp
+++ b/src/rig/process.hpp
@@ -13,10 +13,10 @@
 
 namespace dappletiller::rig {
 
-class Process final : private EventSink {
+class Process final : private EventHandler {
  public:
   using OnLine = std::function<void(const std::string&)>;
-  Process(Loop& loop, OnLine on_line) : loop_(loop), on_line_(std::move(on_line)) {}
+  Process(EventLoop& loop, OnLine on_line) : loop_(loop), on_line_(std::move(on_line)) {}
   ~Process();
   // Throws std::system_error. `environment`: NAME=VALUE, the whole of it.
   void Start(const std::vector<std::string>& words, const std::vector<std::string>& environment);
@@ -33,11 +33,11 @@
  private:
   void OnReady(std::uint32_t) override;
 
-  Loop& loop_;
+  EventLoop& loop_;
   OnLine on_line_;
   pid_t pid_ = -1;
-  Fd out_;
-  Loop::Token token_ = 0;
+  FileDescriptor out_;
+  EventLoop::WatchId token_ = 0;
   std::string text_;
 };
 
--- a/src/rig/scale.cpp
+++ b/src/rig/scale.cpp
@@ -39,8 +39,6 @@
   std::filesystem::rename(fresh, path);
 }
 
-std::string Text(const Endpoint& e) { return "127.0.0.1:" + std::to_string(e.port); }
-
 Json::Value Parsed(const std::string& text) {
   Json::CharReaderBuilder builder;
   std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
@@ -103,14 +101,14 @@
   for (int number : {SIGINT, SIGTERM, SIGHUP}) ::sigaddset(&set, number);
   ::sigprocmask(SIG_BLOCK, &set, nullptr);
   ::signal(SIGPIPE, SIG_IGN);
-  signals_ = Fd(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+  signals_ = FileDescriptor(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
   signals_token_ = loop_.Watch(signals_.get(), this);
   settings_at_.resize(2);
   settings_heard_.resize(2);
 }
 
 ScaleRun::~ScaleRun() {
-  if (signals_) loop_.Forget(signals_token_, signals_.get());
+  if (signals_) loop_.Unwatch(signals_token_, signals_.get());
 }
 
 void ScaleRun::OnReady(std::uint32_t) {
@@ -136,7 +134,7 @@
     if (interrupted_) return Fail("interrupted; the processes are ended");
     if (!why_.empty()) return false;
     if (loop_.Now() > end) return Fail(std::string("it took too long until ") + what);
-    loop_.Round(20'000);
+    loop_.RunOnce(20'000);
   }
   return why_.empty();
 }
@@ -163,7 +161,7 @@
 }
 
 std::string ScaleRun::Config(const Real& real) const {
-  return ScaleConfig(script_, real.name, script_.ZoneOfProxy(real.proxy), Text(real.discovery),
+  return ScaleConfig(script_, real.name, script_.ZoneOfProxy(real.proxy), ToString(real.discovery),
                      std::to_string(1000 + real.proxy), settings_version_);
 }
 
@@ -424,7 +422,7 @@
   if (most_mb_ > script_.most_mb)
     Fail("memory: " + std::to_string(most_mb_) +
          " MB are more than scale.most_mb = " + std::to_string(script_.most_mb));
-  loop_.At(loop_.Now() + kWatchEvery, [this] { Watch(); });
+  loop_.ScheduleAt(loop_.Now() + kWatchEvery, [this] { Watch(); });
 }
 
 void ScaleRun::Progress() {
@@ -440,19 +438,20 @@
       " MB at most; last 5 s " + std::to_string(by[Fared::kServed]) + " served, " +
       std::to_string(by[Fared::kRefused]) + " refused, " + std::to_string(others) +
       " lost or failed; settings " + std::to_string(settings_version_));
-  loop_.At(loop_.Now() + 5'000'000, [this] { Progress(); });
+  loop_.ScheduleAt(loop_.Now() + 5'000'000, [this] { Progress(); });
 }
 
 void ScaleRun::Churn() {
   began_ = loop_.Now() + 500'000;  // all have heard of it by then
   for (auto& child : children_) Ask(*child, "/begin?at=" + std::to_string(began_), [](int, std::string) {});
   for (const ProxyChange& change : plan_.proxies) {
-    if (change.proxy >= script_.hollow) loop_.At(began_ + change.at, [this, &change] { Change(change); });
+    if (change.proxy >= script_.hollow)
+      loop_.ScheduleAt(began_ + change.at, [this, &change] { Change(change); });
   }
-  for (Micros at : plan_.settings) loop_.At(began_ + at, [this] { NewSettings(); });
+  for (Micros at : plan_.settings) loop_.ScheduleAt(began_ + at, [this] { NewSettings(); });
   for (const ScaleEvent& event : script_.events)
-    loop_.At(began_ + event.at, [this, &event] { Say(event.text); });
-  loop_.At(began_, [this] {
+    loop_.ScheduleAt(began_ + event.at, [this, &event] { Say(event.text); });
+  loop_.ScheduleAt(began_, [this] {
     for (auto& child : children_) child->cpu_before = child->process->CpuSeconds();
     controls_cpu_ = 0;
     for (auto& control : controls_) controls_cpu_ -= control->CpuSeconds();
@@ -464,7 +463,7 @@
     }
     if (!options_.quiet) Progress();
   });
-  loop_.At(began_ + script_.length - kQuiet, [this] {
+  loop_.ScheduleAt(began_ + script_.length - kQuiet, [this] {
     for (auto& real : reals_) real->clients->Stop();
   });
 }
--- a/src/rig/scale.hpp
+++ b/src/rig/scale.hpp
@@ -39,7 +39,7 @@
                         const std::string& discovery, const std::string& seed,
                         std::uint64_t settings_version);
 
-class ScaleRun final : private EventSink {
+class ScaleRun final : private EventHandler {
  public:
   // Throws std::system_error and std::runtime_error where the machine doesn't give what is needed.
   ScaleRun(const ScaleScript& script, ScaleOptions options);
@@ -103,7 +103,7 @@
   const ScaleScript script_;
   const ScaleOptions options_;
   const Plan plan_;
-  Loop loop_;
+  EventLoop loop_;
   Ledger ledger_;
   std::vector<std::unique_ptr<Child>> children_;
   std::vector<std::unique_ptr<Real>> reals_;
@@ -112,8 +112,8 @@
   double controls_cpu_ = 0;  // seconds in the churn
   long controls_kb_ = 0;     // most, all of them
   Questions questions_{loop_};
-  Fd signals_;
-  Loop::Token signals_token_ = 0;
+  FileDescriptor signals_;
+  EventLoop::WatchId signals_token_ = 0;
   std::uint64_t settings_version_ = 1;
   std::vector<Micros> settings_at_;                  // by version, from 2 on
   std::vector<std::vector<Micros>> settings_heard_;  // by version: when each real one said so
--- a/src/rig/scale_roles.cpp
+++ b/src/rig/scale_roles.cpp
@@ -13,6 +13,7 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "http/message.hpp"
 #include "rig/hollow.hpp"
 #include "rig/standins.hpp"
 
@@ -49,7 +50,7 @@
 // One process of the run: its loop, its plan, and the control point at which the run begins it and asks it.
 class Role : protected Server {
  public:
-  Role(Loop& loop, const RoleOptions& options)
+  Role(EventLoop& loop, const RoleOptions& options)
       : Server(loop),
         options_(options),
         script_(options.script),
@@ -60,7 +61,7 @@
     std::printf("control on port %u\n", at.port);
     std::fflush(stdout);
     while (!over_) {
-      loop_.Round(1'000'000);
+      loop_.RunOnce(1'000'000);
       AfterRound();
     }
     return 0;
@@ -72,7 +73,9 @@
   virtual void Settings() {}
   virtual bool Ready() { return true; }
   virtual Json::Value Report() = 0;
-  void At(Micros after_begin, std::function<void()> what) { loop_.At(began_ + after_begin, std::move(what)); }
+  void At(Micros after_begin, std::function<void()> what) {
+    loop_.ScheduleAt(began_ + after_begin, std::move(what));
+  }
 
   const RoleOptions options_;
   const ScaleScript& script_ = options_.script;
@@ -110,7 +113,7 @@
 
 class ServersRole final : public Role {
  public:
-  ServersRole(Loop& loop, const RoleOptions& options) : Role(loop, options) {
+  ServersRole(EventLoop& loop, const RoleOptions& options) : Role(loop, options) {
     first_ = options.index * ScaleScript::kServersAProcess;
     last_ = std::min(script_.servers, first_ + ScaleScript::kServersAProcess);
     ColdModel cold;
@@ -148,7 +151,7 @@
   }
   void Rise(std::size_t i) {
     if (servers_[i]->Rise(ports_[i])) return;
-    loop_.At(loop_.Now() + kRiseAgain, [this, i] { Rise(i); });
+    loop_.ScheduleAt(loop_.Now() + kRiseAgain, [this, i] { Rise(i); });
   }
   Json::Value Report() override {
     Json::Value root;
@@ -188,7 +191,8 @@
 
 class DiscoveryRole final : public Role {
  public:
-  DiscoveryRole(Loop& loop, const RoleOptions& options) : Role(loop, options), ports_(AllServers(options)) {
+  DiscoveryRole(EventLoop& loop, const RoleOptions& options)
+      : Role(loop, options), ports_(AllServers(options)) {
     states_.resize(ports_.size());
     std::ofstream file(options.folder / "discovery");
     for (int i = 0; i < script_.regions + script_.real; ++i) {
@@ -344,7 +348,7 @@
 
 class HollowRole final : public Role {
  public:
-  HollowRole(Loop& loop, const RoleOptions& options)
+  HollowRole(EventLoop& loop, const RoleOptions& options)
       : Role(loop, options), nowhere_(std::fopen("/dev/null", "w")), log_(nowhere_, "hollow") {
     auto ports = AllServers(options);
     world_.servers.resize(ports.size());
@@ -515,7 +519,7 @@
   void Settings() override {
     if (script_.feed) return;  // they follow by themselves
     for (std::size_t i = 0; i < ones_.size(); ++i) {
-      loop_.At(loop_.Now(), [this, i] {
+      loop_.ScheduleAt(loop_.Now(), [this, i] {
         One& one = ones_[i];
         if (!one.hollow) return;
         one.way->Signal();
@@ -634,7 +638,7 @@
 }
 
 int PlayRole(const RoleOptions& options) {
-  Loop loop;
+  EventLoop loop;
   if (options.role == "servers") return ServersRole(loop, options).Run();
   if (options.role == "discovery") return DiscoveryRole(loop, options).Run();
   return HollowRole(loop, options).Run();
--- a/src/rig/standins.cpp
+++ b/src/rig/standins.cpp
@@ -10,6 +10,8 @@
 #include <random>
 #include <system_error>
 
+#include "http/parser.hpp"
+
 namespace dappletiller::rig {
 namespace {
 
@@ -30,30 +32,30 @@
 
 // ---- Server ----
 
-class Server::Conn final : public Channel::Owner {
+class Server::Conn final : public StreamSocket::Callbacks {
  public:
-  Conn(Server& server, ConnId id) : channel(server.loop_, *this), server_(server), id_(id) {}
-  std::span<char> Room() override { return parser_.Room(); }
-  void OnBytes(std::size_t n) override {
-    parser_.Got(n);
+  Conn(Server& server, ConnId id) : socket(server.loop_, *this), server_(server), id_(id) {}
+  std::span<char> ReceiveBuffer() override { return parser_.ReceiveBuffer(); }
+  void OnReceived(std::size_t n) override {
+    parser_.Commit(n);
     if (parser_.bad()) return server_.Drop(id_);
     if (busy || !parser_.done()) return;
     busy = true;
     ++server_.taken_;
-    server_.Take(id_, parser_.Take());
+    server_.Take(id_, parser_.TakeMessage());
   }
-  void OnGone(StreamEnd) override { server_.Drop(id_); }
+  void OnClosed(StreamEnd) override { server_.Drop(id_); }
   void Next() {
     busy = false;
     if (parser_.done()) {
       busy = true;
       ++server_.taken_;
-      server_.Take(id_, parser_.Take());
+      server_.Take(id_, parser_.TakeMessage());
     } else {
-      channel.Resume();
+      socket.ResumeReading();
     }
   }
-  Channel channel;
+  StreamSocket socket;
   std::uint16_t from = 0;
   bool busy = false;
 
@@ -63,20 +65,22 @@
   http::Parser parser_{http::Parser::Kind::kRequest};
 };
 
-Server::Server(Loop& loop) : loop_(loop) {}
+Server::Server(EventLoop& loop) : loop_(loop) {}
 
 Server::~Server() {
-  if (listener_) loop_.Forget(token_, listener_.get());
+  if (listener_) loop_.Unwatch(token_, listener_.get());
 }
 
 Endpoint Server::Listen(std::uint16_t port) {
-  listener_ = ListenOn({0x7f000001, port}, 1024, "stand-in", &port_);
+  BoundSocket bound = BindTcpListener({0x7f000001, port}, 1024, "stand-in");
+  listener_ = std::move(bound.fd);
+  port_ = bound.port;
   token_ = loop_.Watch(listener_.get(), this);
   return {0x7f000001, port_};
 }
 
 void Server::Shut() {
-  if (listener_) loop_.Forget(token_, listener_.get());
+  if (listener_) loop_.Unwatch(token_, listener_.get());
   listener_.Reset();
   DropAll();
 }
@@ -85,7 +89,7 @@
   for (;;) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
-    Fd fd(
+    FileDescriptor fd(
         ::accept4(listener_.get(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) return;
     ConnId id = ++ids_;
@@ -93,7 +97,7 @@
     conn->from = ntohs(from.sin_port);
     Conn& begun = *conn;
     conns_[id] = std::move(conn);
-    if (!begun.channel.Adopt(std::move(fd))) Drop(id);
+    if (!begun.socket.Adopt(std::move(fd))) Drop(id);
   }
 }
 
@@ -102,8 +106,8 @@
   if (it == conns_.end()) return;
   auto owned = std::move(it->second);
   conns_.erase(it);
-  owned->channel.Close();
-  loop_.Dispose(std::move(owned));
+  owned->socket.Close();
+  loop_.DeferDelete(std::move(owned));
   Gone(id);
 }
 
@@ -120,8 +124,8 @@
   auto it = conns_.find(conn);
   if (it == conns_.end()) return;
   bytes_out_ += text.size();
-  it->second->channel.out().AddOwned(std::move(text));
-  it->second->channel.Flush();
+  it->second->socket.output().AppendOwned(std::move(text));
+  it->second->socket.Flush();
   it = conns_.find(conn);
   if (it != conns_.end()) it->second->Next();
 }
@@ -209,7 +213,7 @@
 void StandInWorker::Run(Waiting one) {
   ++running_;
   Micros takes = static_cast<Micros>(static_cast<double>(one.work) * size_ / std::max(1.0, Capacity()));
-  loop_.At(loop_.Now() + takes, [this, one = std::move(one), epoch = epoch_] {
+  loop_.ScheduleAt(loop_.Now() + takes, [this, one = std::move(one), epoch = epoch_] {
     if (epoch != epoch_) return;
     --running_;
     Answer(one.conn, Response(200, one.id));
@@ -285,7 +289,7 @@
     return Answer(conn,
                   Response(200, "{\"rev\":" + std::to_string(version) + ",\"all\":false,\"targets\":[]}"));
   Watcher watcher{who, after, {0, 0}};
-  watcher.timer = loop_.At(loop_.Now() + wait, [this, conn, who] {
+  watcher.timer = loop_.ScheduleAt(loop_.Now() + wait, [this, conn, who] {
     watchers_.erase(conn);
     Answer(conn, Response(200, "{\"rev\":" + std::to_string(version_) + ",\"all\":false,\"targets\":[]}"));
   });
@@ -294,33 +298,33 @@
 
 // ---- Clients ----
 
-struct Clients::Call final : Channel::Owner {
+struct Clients::Call final : StreamSocket::Callbacks {
   Call(Clients& c, std::uint64_t n, std::size_t e)
-      : clients(c), id(n), entry(e), channel(c.loop_, *this), timer(c.loop_) {}
-  std::span<char> Room() override { return parser.Room(); }
-  void OnBytes(std::size_t n) override {
-    parser.Got(n);
+      : clients(c), id(n), entry(e), socket(c.loop_, *this), timer(c.loop_) {}
+  std::span<char> ReceiveBuffer() override { return parser.ReceiveBuffer(); }
+  void OnReceived(std::size_t n) override {
+    parser.Commit(n);
     if (parser.bad()) return clients.End(id, Fared::kLost);
     if (!parser.done()) return;
-    int status = parser.Take()->status();
+    int status = parser.TakeMessage()->status();
     clients.End(id, status == 200                    ? Fared::kServed
                     : status == 429 || status == 503 ? Fared::kRefused
                                                      : Fared::kFailed);
   }
   void OnConnected() override { connected = true; }
-  void OnGone(StreamEnd) override { clients.End(id, connected ? Fared::kLost : Fared::kUnreachable); }
+  void OnClosed(StreamEnd) override { clients.End(id, connected ? Fared::kLost : Fared::kUnreachable); }
 
   Clients& clients;
   std::uint64_t id;
   std::size_t entry;  // in the ledger
-  Channel channel;
+  StreamSocket socket;
   Timer timer;
   http::Parser parser{http::Parser::Kind::kResponse};
   bool connected = false;
 };
 
-Clients::Clients(Loop& loop, Ledger& ledger, std::string to, double per_second, double work_ms, bool hints,
-                 std::uint64_t seed)
+Clients::Clients(EventLoop& loop, Ledger& ledger, std::string to, double per_second, double work_ms,
+                 bool hints, std::uint64_t seed)
     : loop_(loop),
       ledger_(ledger),
       to_(std::move(to)),
@@ -374,8 +378,8 @@
   Call& begun = *call;
   calls_[id] = std::move(call);
   begun.timer.Set(kPatience, [this, id] { End(id, Fared::kLost); });
-  if (!begun.channel.Connect(where_)) return End(id, Fared::kUnreachable);
-  begun.channel.out().AddOwned(text + "\r\n");
+  if (!begun.socket.Connect(where_)) return End(id, Fared::kUnreachable);
+  begun.socket.output().AppendOwned(text + "\r\n");
 }
 
 void Clients::End(std::uint64_t id, Fared fared) {
@@ -387,33 +391,33 @@
   auto owned = std::move(it->second);
   calls_.erase(it);
   owned->timer.Clear();
-  owned->channel.Close();
-  loop_.Dispose(std::move(owned));
+  owned->socket.Close();
+  loop_.DeferDelete(std::move(owned));
 }
 
 // ---- Asking a console ----
 
-struct Questions::Question final : Channel::Owner {
+struct Questions::Question final : StreamSocket::Callbacks {
   Question(Questions& q, std::uint64_t i, std::function<void(int, std::string)> d)
-      : questions(q), id(i), done(std::move(d)), channel(q.loop_, *this), timer(q.loop_) {}
-  std::span<char> Room() override { return parser.Room(); }
-  void OnBytes(std::size_t n) override {
-    parser.Got(n);
+      : questions(q), id(i), done(std::move(d)), socket(q.loop_, *this), timer(q.loop_) {}
+  std::span<char> ReceiveBuffer() override { return parser.ReceiveBuffer(); }
+  void OnReceived(std::size_t n) override {
+    parser.Commit(n);
     if (parser.bad()) return questions.End(id, 0, {});
     if (!parser.done()) return;
-    auto answer = parser.Take();
+    auto answer = parser.TakeMessage();
     questions.End(id, answer->status(), std::string(answer->body()));
   }
-  void OnGone(StreamEnd) override { questions.End(id, 0, {}); }
+  void OnClosed(StreamEnd) override { questions.End(id, 0, {}); }
   Questions& questions;
   std::uint64_t id;
   std::function<void(int, std::string)> done;
-  Channel channel;
+  StreamSocket socket;
   Timer timer;
-  http::Parser parser{http::Parser::Kind::kResponse, http::kListLimit};
+  http::Parser parser{http::Parser::Kind::kResponse, http::kMaxEndpointListSize};
 };
 
-Questions::Questions(Loop& loop) : loop_(loop) {}
+Questions::Questions(EventLoop& loop) : loop_(loop) {}
 Questions::~Questions() = default;
 
 void Questions::Put(const Endpoint& where, const std::string& method, const std::string& target,
@@ -421,9 +425,9 @@
   std::uint64_t id = ++ids_;
   Question& question = *(open_[id] = std::make_unique<Question>(*this, id, std::move(done)));
   question.timer.Set(patience, [this, id] { End(id, 0, {}); });
-  if (!question.channel.Connect(where)) return End(id, 0, {});
-  question.channel.out().AddOwned(method + " " + target +
-                                  " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+  if (!question.socket.Connect(where)) return End(id, 0, {});
+  question.socket.output().AppendOwned(method + " " + target +
+                                       " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
 }
 
 void Questions::End(std::uint64_t id, int status, std::string body) {
@@ -432,9 +436,9 @@
   auto owned = std::move(it->second);
   open_.erase(it);
   owned->timer.Clear();
-  owned->channel.Close();
+  owned->socket.Close();
   auto done = std::move(owned->done);
-  loop_.Dispose(std::move(owned));
+  loop_.DeferDelete(std::move(owned));
   done(status, std::move(body));
 }
 
--- a/src/rig/standins.hpp
+++ b/src/rig/standins.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "http/http.hpp"
+#include "http/message.hpp"
 #include "io/event_loop.hpp"
 #include "io/stream_socket.hpp"
 #include "rig/ledger.hpp"
@@ -23,11 +23,11 @@
 
 // A listener whose connections carry one request at a time to `Take`; answers are written by `Answer`, at
 // once or later.
-class Server : private EventSink {
+class Server : private EventHandler {
  public:
   using ConnId = std::uint64_t;
   using Sender = std::function<std::string(std::uint16_t to, std::uint16_t from)>;
-  explicit Server(Loop& loop);
+  explicit Server(EventLoop& loop);
   virtual ~Server();
   Endpoint Listen(std::uint16_t port = 0);  // 0: the kernel's choice; throws std::system_error
   // Nobody is there any more, as after a kill: what is open ends, what comes is refused.
@@ -45,16 +45,16 @@
   // Whose a connection is, by its ports: the relay knows.
   std::string From(ConnId conn, const Sender& sender) const;
 
-  Loop& loop_;
+  EventLoop& loop_;
 
  private:
   class Conn;
   void OnReady(std::uint32_t) override;
   void Drop(ConnId id);
 
-  Fd listener_;
+  FileDescriptor listener_;
   std::uint16_t port_ = 0;
-  Loop::Token token_ = 0;
+  EventLoop::WatchId token_ = 0;
   ConnId ids_ = 0;
   std::uint64_t taken_ = 0, bytes_out_ = 0;
   std::map<ConnId, std::unique_ptr<Conn>> conns_;
@@ -75,7 +75,7 @@
  public:
   static constexpr Micros kDown = 3'000'000;
   static constexpr std::size_t kQueue = 64;
-  StandInWorker(Loop& loop, Ledger& ledger, std::string name, double size, ColdModel cold, Sender sender)
+  StandInWorker(EventLoop& loop, Ledger& ledger, std::string name, double size, ColdModel cold, Sender sender)
       : Server(loop),
         ledger_(ledger),
         name_(std::move(name)),
@@ -125,7 +125,7 @@
  public:
   using ListFor = std::function<std::string(const std::string& who)>;  // the targets, as JSON
   enum class Mode { kFine, kSilent, kDown, kStale };
-  StandInDiscovery(Loop& loop, Sender sender, ListFor list)
+  StandInDiscovery(EventLoop& loop, Sender sender, ListFor list)
       : Server(loop), sender_(std::move(sender)), list_(std::move(list)) {}
   // The entries changed since a version, as JSON; none: too long ago, only the whole list will do.
   using ChangesSince = std::function<std::optional<std::string>(std::uint64_t after)>;
@@ -144,7 +144,7 @@
   struct Watcher {
     std::string who;
     std::uint64_t after = 0;
-    Loop::TimerKey timer{0, 0};
+    EventLoop::TimerKey timer{0, 0};
   };
   void Take(ConnId conn, http::MessageRef request) override;
   void Gone(ConnId conn) override;
@@ -165,7 +165,7 @@
 class Clients {
  public:
   static constexpr Micros kPatience = 5'000'000;
-  Clients(Loop& loop, Ledger& ledger, std::string to, double per_second, double work_ms, bool hints,
+  Clients(EventLoop& loop, Ledger& ledger, std::string to, double per_second, double work_ms, bool hints,
           std::uint64_t seed);
   ~Clients();
   void Start(const Endpoint& where);
@@ -178,7 +178,7 @@
   void Begin();
   void End(std::uint64_t id, Fared fared);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Ledger& ledger_;
   std::string to_;
   double per_second_;
@@ -198,7 +198,7 @@
 // unanswered.
 class Questions {
  public:
-  explicit Questions(Loop& loop);
+  explicit Questions(EventLoop& loop);
   ~Questions();
   // `done` gets the status (0: no answer in time) and the body, once.
   void Put(const Endpoint& where, const std::string& method, const std::string& target, Micros patience,
@@ -207,7 +207,7 @@
  private:
   struct Question;
   void End(std::uint64_t id, int status, std::string body);
-  Loop& loop_;
+  EventLoop& loop_;
   std::uint64_t ids_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Question>> open_;
 };
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -3,6 +3,11 @@
 #include <algorithm>
 #include <utility>
 
+#include "base/payload.hpp"
+#include "http/body_memory.hpp"
+#include "http/parser.hpp"
+#include "http/writer.hpp"
+
 namespace dappletiller {
 namespace {
 
@@ -29,15 +34,15 @@
 }  // namespace
 
 // One connection.
-class WorkerLinks::Link final : public Channel::Owner {
+class WorkerLinks::Link final : public StreamSocket::Callbacks {
  public:
   Link(WorkerLinks& links, WorkerId worker, const Endpoint& endpoint)
       : worker(worker),
         endpoint(endpoint),
         timer(links.loop_),
-        channel(links.loop_, *this),
+        socket(links.loop_, *this),
         links_(links),
-        parser_(http::Parser::Kind::kResponse, http::kBodyLimit, links.long_bodies_) {}
+        parser_(http::Parser::Kind::kResponse, http::kMaxBodySize, links.long_bodies_) {}
 
   void Send(const Attempt& attempt) {
     key = attempt.key;
@@ -49,10 +54,10 @@
     wait_until_ = links_.loop_.Now() + attempt.wait;
     if (!up) return;
     Write();
-    channel.Flush();
+    socket.Flush();
   }
 
-  std::span<char> Room() override { return parser_.Room(); }
+  std::span<char> ReceiveBuffer() override { return parser_.ReceiveBuffer(); }
 
   void OnConnected() override {
     up = true;
@@ -60,16 +65,16 @@
     Write();
   }
   bool MayWrite() override { return links_.gateway_.MayWrite(key); }
-  void OnWritten() override { written_ = true; }
+  void OnFlushed() override { written_ = true; }
 
-  void OnBytes(std::size_t n) override {
-    if (busy && !parser_.begun()) crossed_ = channel.Undelivered() > 0;
-    parser_.Got(n);
+  void OnReceived(std::size_t n) override {
+    if (busy && !parser_.begun()) crossed_ = socket.UnacknowledgedBytes() > 0;
+    parser_.Commit(n);
     Look();
   }
 
-  void OnGone(StreamEnd how) override {
-    if (how == StreamEnd::kOrderly) parser_.Ended();
+  void OnClosed(StreamEnd how) override {
+    if (how == StreamEnd::kOrderly) parser_.OnStreamEnd();
     if (busy && parser_.done()) return Look();
     if (!busy) return links_.DropIdle(*this);
     if (written_ && !parser_.begun()) links_.NoteRest(rest, false);
@@ -77,7 +82,7 @@
     links_.Finish(*this, written_ ? AttemptEnd::kReset : AttemptEnd::kUnreachable, nullptr);
   }
 
-  bool reusable() const { return reusable_ && channel.open(); }
+  bool reusable() const { return reusable_ && socket.open(); }
   bool written() const { return written_; }
 
   WorkerId worker;
@@ -86,7 +91,7 @@
   bool busy = false;
   bool up = false;  // connected: bytes may have been sent
   Timer timer;      // dialling, or idle
-  Channel channel;
+  StreamSocket socket;
   LinkList::iterator place;  // while idle
   Micros parked_at = 0;
   Micros rest = -1;  // before the attempt at hand; none on a new connection
@@ -95,22 +100,22 @@
   // Once the connection is up, not before: guards against telling more time than the client still has, by as
   // much as the dialling took.
   void Write() {
-    http::WriteRequest(request_, wait_until_ - links_.loop_.Now(), &channel.out());
+    http::WriteRequest(request_, wait_until_ - links_.loop_.Now(), &socket.output());
     request_ = nullptr;
   }
 
   void Look() {
     if (!busy) {  // bytes that nobody asked for: the next answer could be mistaken
       links_.NoteSurplus(worker);
-      channel.Close();
+      socket.Close();
       return links_.DropIdle(*this);
     }
     if (parser_.bad()) {
-      channel.Close();
+      socket.Close();
       return links_.Finish(*this, written_ ? AttemptEnd::kReset : AttemptEnd::kUnreachable, nullptr);
     }
     if (!parser_.done()) return;
-    http::MessageRef answer = parser_.Take();
+    http::MessageRef answer = parser_.TakeMessage();
     // An answer before the request was written whole leaves a connection with half a request on it.
     reusable_ = answer->keep_alive() && written_ && !parser_.begun();
     if (parser_.begun()) links_.NoteSurplus(worker);
@@ -119,7 +124,7 @@
     if (crossed_ && written_ && end == AttemptEnd::kAnswered) {
       links_.NoteSurplus(worker);
       crossed_ = false;
-      if (channel.open()) return Look();
+      if (socket.open()) return Look();
       end = AttemptEnd::kReset;
     }
     // A worker begins a request once its last byte has arrived. Guards against serving what was made for an
@@ -140,19 +145,19 @@
   bool reusable_ = false;
 };
 
-WorkerLinks::WorkerLinks(Loop& loop, Log& log, Gateway& gateway, Budget& budget, const WorkerLimits& limits,
-                         std::shared_ptr<BodyMemory> long_bodies)
+WorkerLinks::WorkerLinks(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
+                         const WorkerLimits& limits, std::shared_ptr<BodyMemory> long_bodies)
     : loop_(loop),
       log_(log),
       gateway_(gateway),
-      budget_(budget),
+      descriptors_(descriptors),
       limits_(limits),
       long_bodies_(std::move(long_bodies)),
       fade_(loop) {
-  budget_.SetSpare(Budget::Side::kWorkers, [this] { return DropOneIdle(); });
+  descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, [this] { return DropOneIdle(); });
 }
 
-WorkerLinks::~WorkerLinks() { budget_.SetSpare(Budget::Side::kWorkers, nullptr); }
+WorkerLinks::~WorkerLinks() { descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, nullptr); }
 
 void WorkerLinks::Locate(WorkerId worker, const Endpoint& endpoint) {
   Pool& pool = pools_[worker];
@@ -172,7 +177,7 @@
   for (const AttemptKey& key : dialling) {
     auto found = busy_.find(key);
     if (found == busy_.end()) continue;
-    found->second->channel.Close();
+    found->second->socket.Close();
     Finish(*found->second, AttemptEnd::kUnreachable, nullptr);
   }
 }
@@ -188,20 +193,20 @@
   if (it == pools_.end()) return gateway_.Ended(attempt.key, AttemptEnd::kNotSent, nullptr);
   std::unique_ptr<Link> link = TakeIdle(it->second);
   if (link == nullptr) {
-    if (!budget_.MakeRoom(Budget::Side::kWorkers)) {
-      log_.Line("worker: all %zu connections in use, a call is not sent", budget_.limit());
+    if (!descriptors_.MakeRoom(DescriptorLimit::Side::kUpstream)) {
+      log_.Info("worker: all %zu connections in use, a call is not sent", descriptors_.limit());
       return gateway_.Ended(attempt.key, AttemptEnd::kNotSent, nullptr);
     }
     link = std::make_unique<Link>(*this, attempt.worker, it->second.endpoint);
-    if (!link->channel.Connect(it->second.endpoint)) {
+    if (!link->socket.Connect(it->second.endpoint)) {
       return gateway_.Ended(attempt.key, AttemptEnd::kUnreachable, nullptr);
     }
     ++count_;
     ++gateway_.tally().dialled;
-    budget_.Take();
+    descriptors_.Acquire();
     Link* dialled = link.get();
     link->timer.Set(limits_.dial, [this, dialled] {
-      dialled->channel.Close();
+      dialled->socket.Close();
       Finish(*dialled, AttemptEnd::kUnreachable, nullptr);
     });
   }
@@ -237,7 +242,7 @@
     link->rest = now - link->parked_at;
     // Guards against writing into a connection whose end is known to the kernel but not yet to us, or that a
     // worker has most likely left by now without our being told.
-    if (!link->channel.Stale() && rests_.Trusted(link->rest)) return link;
+    if (!link->socket.IsStale() && rests_.Trusted(link->rest)) return link;
     Discard(std::move(link));
   }
   return nullptr;
@@ -318,11 +323,11 @@
 }
 
 void WorkerLinks::Discard(std::unique_ptr<Link> link) {
-  link->channel.Close();
+  link->socket.Close();
   link->timer.Clear();
   --count_;
-  budget_.Give();
-  loop_.Dispose(std::move(link));
+  descriptors_.Release();
+  loop_.DeferDelete(std::move(link));
 }
 
 }  // namespace dappletiller
--- a/src/upstream/upstream_pool.hpp
+++ b/src/upstream/upstream_pool.hpp
@@ -6,7 +6,9 @@
 #include <memory>
 #include <unordered_map>
 
+#include "base/payload.hpp"
 #include "dispatch/request_dispatcher.hpp"
+#include "http/body_memory.hpp"
 #include "io/descriptor_limit.hpp"
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
@@ -23,8 +25,8 @@
 class WorkerLinks final : public Workers {
  public:
   // `long_bodies`: for answers with long bodies; none: bodies of the usual size only.
-  WorkerLinks(Loop& loop, Log& log, Gateway& gateway, Budget& budget, const WorkerLimits& limits,
-              std::shared_ptr<BodyMemory> long_bodies = nullptr);
+  WorkerLinks(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
+              const WorkerLimits& limits, std::shared_ptr<BodyMemory> long_bodies = nullptr);
   ~WorkerLinks();
 
   void Start(const Attempt& attempt) override;
@@ -58,10 +60,10 @@
   void DropIdle(Link& link);
   void Discard(std::unique_ptr<Link> link);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Log& log_;
   Gateway& gateway_;
-  Budget& budget_;
+  DescriptorLimit& descriptors_;
   WorkerLimits limits_;
   std::shared_ptr<BodyMemory> long_bodies_;
   std::unordered_map<WorkerId, Pool> pools_;
--- a/tests/admin/console_test.cpp
+++ b/tests/admin/console_test.cpp
@@ -202,9 +202,9 @@
 
 TEST_CASE("the platform's socket is taken only if it is a listening TCP socket") {
   Rig rig;
-  Fd plain(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  FileDescriptor plain(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   CHECK_THROWS(rig.acceptor.Inherit(plain.get()));
-  Fd datagram(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+  FileDescriptor datagram(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   CHECK_THROWS(rig.acceptor.Inherit(datagram.get()));
   CHECK_THROWS(rig.acceptor.Inherit(1000));  // no descriptor at all
 }
--- a/tests/config_feed/process_test.cpp
+++ b/tests/config_feed/process_test.cpp
@@ -111,7 +111,7 @@
 };
 
 std::string Get(int port, const std::string& text) {
-  Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   timeval patience{5, 0};
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   sockaddr_in to{};
@@ -129,11 +129,7 @@
 
 // A port that is free now. Between this and its use another process may take it: the tests' own machines then
 // say that they can't start, and the test fails as that.
-int FreePort() {
-  std::uint16_t port = 0;
-  Fd fd = ListenOn({INADDR_LOOPBACK, 0}, 1, "test", &port);
-  return port;
-}
+int FreePort() { return BindTcpListener({INADDR_LOOPBACK, 0}, 1, "test").port; }
 
 std::string At(int port) { return "127.0.0.1:" + std::to_string(port); }
 
@@ -336,12 +332,17 @@
 
 class Played {
  public:
-  Played() : fd_(ListenOn({INADDR_LOOPBACK, 0}, 16, "test", &port)) {}
+  Played() {
+    BoundSocket bound = BindTcpListener({INADDR_LOOPBACK, 0}, 16, "test");
+    fd_ = std::move(bound.fd);
+    port = bound.port;
+  }
   // Answers the next question with these bytes, and ends the connection if so.
-  bool Answer(Loop& loop, const std::string& bytes, bool end) {
+  bool Answer(EventLoop& loop, const std::string& bytes, bool end) {
     return Until([&] {
-      loop.Round(1'000);
-      if (!conn_) conn_ = Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+      loop.RunOnce(1'000);
+      if (!conn_)
+        conn_ = FileDescriptor(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
       if (!conn_) return false;
       char room[4096];
       ssize_t n = ::recv(conn_.get(), room, sizeof room, MSG_DONTWAIT);
@@ -358,8 +359,8 @@
   std::string question;
 
  private:
-  Fd fd_;
-  Fd conn_;
+  FileDescriptor fd_;
+  FileDescriptor conn_;
   std::string asked;
 };
 
@@ -368,7 +369,7 @@
 }
 
 TEST_CASE("a torn, malformed or foreign answer changes nothing, and the next good one does") {
-  Loop loop;
+  EventLoop loop;
   Log log(stderr, "test");
   Sink sink;
   Played machine;
@@ -392,27 +393,27 @@
     CAPTURE(bad);
     REQUIRE(machine.Answer(loop, bad, true));
     ++failures;
-    CHECK(Until([&] { return loop.Round(1'000), feed.tally().failures >= failures; }));
+    CHECK(Until([&] { return loop.RunOnce(1'000), feed.tally().failures >= failures; }));
     CHECK(sink.seen.empty());
     CHECK(follower.held().size() == 0);
   }
   REQUIRE(machine.Answer(loop, good, false));
-  CHECK(Until([&] { return loop.Round(1'000), sink.seen.size() == 2; }));
+  CHECK(Until([&] { return loop.RunOnce(1'000), sink.seen.size() == 2; }));
   CHECK(follower.held().head().serial == 1);
   // Busy: it comes back there when it was told, and holds what it has.
   REQUIRE(machine.Answer(loop, "HTTP/1.1 503 X\r\nRetry-After: 0.060\r\nContent-Length: 0\r\n\r\n", false));
-  CHECK(Until([&] { return loop.Round(1'000), feed.tally().busy == 1; }));
+  CHECK(Until([&] { return loop.RunOnce(1'000), feed.tally().busy == 1; }));
   store.Publish(2, 7, {{"tenant/a/t", std::nullopt, 0}});
   REQUIRE(machine.Answer(
       loop, Http(feed::WritePage(store.Tell({follower.held().head(), std::nullopt, {true, {}}}, 1 << 20))),
       false));
   CHECK(machine.question.find("serial=1&epoch=7&after=2") != std::string::npos);
-  CHECK(Until([&] { return loop.Round(1'000), sink.seen.size() == 3; }));
+  CHECK(Until([&] { return loop.RunOnce(1'000), sink.seen.size() == 3; }));
   CHECK(follower.held().size() == 1);
 }
 
 TEST_CASE("the server turns away what is no question, and wakes only those whom a change concerns") {
-  Loop loop;
+  EventLoop loop;
   Log log(stderr, "test");
   feed::FollowerOptions options;
   options.self = "c";
@@ -445,11 +446,11 @@
         text.append(bytes, static_cast<std::size_t>(n));
       return text;
     }
-    Fd fd;
+    FileDescriptor fd;
     std::string text;
   };
   auto hears = [&](Client& client, const std::string& part) {
-    return Until([&] { return loop.Round(1'000), client.Heard().find(part) != std::string::npos; });
+    return Until([&] { return loop.RunOnce(1'000), client.Heard().find(part) != std::string::npos; });
   };
   for (const char* bad : {"/feed", "/feed?self=a", "/feed?self=a&serial=0&epoch=0&after=x&all=1"}) {
     Client client(server.port());
@@ -471,8 +472,8 @@
     Client gone(server.port());
     gone.Say("/feed?self=g&serial=1&epoch=7&after=2&services=a&wait_ms=60000");
   }
-  CHECK(Until([&] { return loop.Round(1'000), server.connections() >= 3; }));
-  for (int i = 0; i < 20; ++i) loop.Round(1'000);
+  CHECK(Until([&] { return loop.RunOnce(1'000), server.connections() >= 3; }));
+  for (int i = 0; i < 20; ++i) loop.RunOnce(1'000);
   CHECK(a.Heard().empty());
   publish({{"tenant/b/t", "2", 0}});
   CHECK(hears(b, "tenant/b/t"));
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -176,14 +176,14 @@
   FILE* file = std::tmpfile();
   REQUIRE(file != nullptr);
   {
-    Loop loop;
+    EventLoop loop;
     Log log(file, "test");
     Gateway gateway(loop, log, Asking());
     ++gateway.tally().list_calls;
     Micros end = loop.Now() + kBound;
     std::string text;
     while (text.find("passed:") == std::string::npos && loop.Now() < end) {
-      loop.Round(5 * kMs);
+      loop.RunOnce(5 * kMs);
       std::fflush(file);
       std::rewind(file);
       char bytes[4096];
--- a/tests/golden/console_golden_test.cpp
+++ b/tests/golden/console_golden_test.cpp
@@ -109,12 +109,12 @@
   REQUIRE(file != nullptr);
   {
     Log log(file, "dappletiller");
-    log.Line("plain %d", 1);
-    log.Shape(true, Log::Level::kDebug);
-    log.At(Log::Level::kDebug, "a \"quoted\" line\twith\\escapes");
-    log.At(Log::Level::kWarn, "warning");
-    log.At(Log::Level::kError, "error");
-    log.Always("always");
+    log.Info("plain %d", 1);
+    log.Configure(Log::Format::kJson, Log::Level::kDebug);
+    log.Write(Log::Level::kDebug, "a \"quoted\" line\twith\\escapes");
+    log.Write(Log::Level::kWarn, "warning");
+    log.Write(Log::Level::kError, "error");
+    log.Important("always");
   }
   std::rewind(file);
   std::string text;
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -1,13 +1,17 @@
 // Tables of cases for what reads bytes: HTTP in both directions, time-outs, addresses, lists, the
 // configuration.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
+#include "http/parser.hpp"
+
 #include <doctest/doctest.h>
 
 #include <string>
 #include <vector>
 
 #include "config/platform_config.hpp"
-#include "http/http.hpp"
+#include "http/text.hpp"
+#include "http/writer.hpp"
+#include "io/output_buffer.hpp"
 
 namespace dappletiller {
 namespace {
@@ -36,10 +40,10 @@
       for (std::size_t at = 0; at < c.bytes.size() && !parser.bad(); at += step) {
         parser.Feed(std::string_view(c.bytes).substr(at, step));
       }
-      parser.Ended();
+      parser.OnStreamEnd();
       CHECK(parser.done() == (c.error == 0));
       CHECK(parser.error_status() == c.error);
-      if (parser.done()) CHECK(parser.Take()->body() == c.body);
+      if (parser.done()) CHECK(parser.TakeMessage()->body() == c.body);
     }
   }
 }
@@ -101,7 +105,7 @@
                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"}) {
     Parser parser(Parser::Kind::kResponse);
     parser.Feed(text);
-    parser.Ended();
+    parser.OnStreamEnd();
     CHECK_FALSE(parser.done());
   }
 }
@@ -111,10 +115,10 @@
   parser.Feed(
       "POST /1 HTTP/1.1\r\nContent-Length: 1\r\n\r\naGET /2 HTTP/1.1\r\nConnection: close\r\n\r\nGET");
   REQUIRE(parser.done());
-  CHECK(parser.Room().empty());
-  auto first = parser.Take();
+  CHECK(parser.ReceiveBuffer().empty());
+  auto first = parser.TakeMessage();
   REQUIRE(parser.done());
-  auto second = parser.Take();
+  auto second = parser.TakeMessage();
   CHECK(first->target() == "/1");
   CHECK(first->body() == "a");
   CHECK(first->keep_alive());
@@ -131,8 +135,8 @@
       "Request-Timeout: 480m\r\nIdempotency-Key: 5c\r\nTransfer-Encoding: chunked\r\n\r\n"
       "2\r\nhi\r\n0\r\n\r\n");
   REQUIRE(parser.done());
-  http::Outbox out;
-  http::WriteRequest(parser.Take(), 250'000, &out);
+  OutputBuffer out;
+  http::WriteRequest(parser.TakeMessage(), 250'000, &out);
   CHECK(out.Text() ==
         "POST /api?k=7f HTTP/1.1\r\nHost: o\r\nRequest-Id: 9b\r\nIdempotency-Key: 5c\r\n"
         "Request-Timeout: 250000u\r\nContent-Length: 2\r\n\r\nhi");
@@ -150,8 +154,8 @@
                {1'999'500, "Retry-After: 2.000\r\n"},
                {2'034'000, "Retry-After: 2.034\r\n"}};
   for (const auto& c : cases) {
-    http::Outbox out;
-    http::WriteStatus(503, "x", c.after, true, &out);
+    OutputBuffer out;
+    http::WriteStatusResponse(503, "x", c.after, true, &out);
     CHECK(out.Text() == std::string("HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\n"
                                     "Content-Length: 2\r\n") +
                             c.line + "\r\nx\n");
--- a/tests/net/deadline_test.cpp
+++ b/tests/net/deadline_test.cpp
@@ -69,7 +69,7 @@
   rig.Until("the first is held", [&] { return rig.gateway.open_calls() == 1; });
   if (in_pieces) {
     client.Say(second.substr(0, 20));
-    rig.loop.Round(0);
+    rig.loop.RunOnce(0);
     client.Say(second.substr(20));
   }
   // The loop is at work meanwhile: it reads what comes behind the first request.
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -26,14 +26,14 @@
   Asked(rig, first).Say(Answer(200, R"({"rev":41,"all":false,"targets":[]})"));
   Peer& silent = Asked(rig, "/discovery/hosts?after=41&wait_ms=500");
   rig.Until("the silent one is left", [&] { return silent.Ended(); });
-  for (int i = 0; i < 3; ++i) rig.loop.Round(0);  // no time passes but what these take
+  for (int i = 0; i < 3; ++i) rig.loop.RunOnce(0);  // no time passes but what these take
   REQUIRE(rig.registry.Accept());
   std::size_t anew = rig.registry.peers.size() - 1;
   CHECK(rig.registry.peers[anew].Has("GET " + first + " HTTP/1.1\r\n"));
   // Silent again: from here on discovery is spared for a moment, and asked once more.
   rig.Until("it is left too", [&] { return rig.registry.peers[anew].Ended(); });
   rig.registry.peers[anew].text.clear();
-  for (int i = 0; i < 3; ++i) rig.loop.Round(0);
+  for (int i = 0; i < 3; ++i) rig.loop.RunOnce(0);
   CHECK_FALSE(rig.registry.Accept());
   Asked(rig, first).Say(Answer(200, R"({"rev":42,"all":false,"targets":[]})"));
   Asked(rig, "/discovery/hosts?after=42&wait_ms=500");
@@ -386,7 +386,7 @@
         if (left) {
           rig.Until("its end is known", [&] { return rig.gateway.open_calls() == 0; });
         } else if (quiet) {  // both are the list's: the call goes on
-          for (int i = 0; i < 5; ++i) rig.loop.Round(0);
+          for (int i = 0; i < 5; ++i) rig.loop.RunOnce(0);
           at->Say(Answer(200, "one"));
           rig.Hears(client, "one");
         } else {
@@ -418,7 +418,7 @@
   Peer held = rig.Client();
   held.Say(Check("a1"));
   Peer& at = rig.Request(worker, "a1");
-  CHECK(rig.budget.used() == 2);
+  CHECK(rig.descriptors.used() == 2);
   rig.acceptor.Drain(rig.loop.Now() + kBound);
   Peer waits = rig.Client();
   waits.Say("GET /up HTTP/1.1\r\n\r\n");
--- a/tests/net/late_bytes_test.cpp
+++ b/tests/net/late_bytes_test.cpp
@@ -210,7 +210,7 @@
   REQUIRE(Unsent(repeat.proxys_end) > kMostlyUnsent);
   repeat.rig.Until("the window is over",
                    [&] { return repeat.rig.loop.Now() > repeat.sent_by + Repeat::kWindow; });
-  for (int i = 0; i < 3; ++i) repeat.rig.loop.Round(0);
+  for (int i = 0; i < 3; ++i) repeat.rig.loop.RunOnce(0);
   REQUIRE_FALSE(repeat.client.Has("HTTP/1.1 "));
   repeat.rig.Hears(repeat.server(), kLastBytes);
   repeat.server().Say(Answer(200, "made of the repeat"));
@@ -304,7 +304,7 @@
   at.Say(second.substr(0, early));
   WaitOutsideTheLoop("the second answer is here", [&] { return Unread(proxys_end) > 0; });
   rig.Until("the second answer is read", [&] { return Unread(proxys_end) == 0; });
-  for (int i = 0; i < 3; ++i) rig.loop.Round(0);
+  for (int i = 0; i < 3; ++i) rig.loop.RunOnce(0);
   CHECK_FALSE(client.Has("HTTP/1.1 "));
   rig.Hears(at, kLastBytes);
   at.Say(second.substr(early) + Answer(200, "made of the second"));
--- a/tests/net/long_body_test.cpp
+++ b/tests/net/long_body_test.cpp
@@ -2,13 +2,14 @@
 #include <string>
 
 #include "http/body_memory.hpp"
+#include "http/parser.hpp"
 #include "support.hpp"
 
 namespace dappletiller::testing {
 namespace {
 
-constexpr std::size_t kLong = 100 * 1024;                       // a body beyond the usual size
-constexpr std::size_t kBeyondUsual = kLong - http::kBodyLimit;  // what it takes of the shared memory
+constexpr std::size_t kLong = 100 * 1024;                         // a body beyond the usual size
+constexpr std::size_t kBeyondUsual = kLong - http::kMaxBodySize;  // what it takes of the shared memory
 
 Rig RigWithMemory(std::size_t long_body_memory) {
   return Rig(Rules(), kBound, 64, 8, 64, false, kBound, 1'000 * kMs, long_body_memory);
@@ -109,7 +110,7 @@
   const std::string head =
       "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a1\r\nRequest-Class: pay\r\nRequest-Timeout: 15000m\r\n";
   for (const std::string& framing :
-       {"Content-Length: " + std::to_string(http::kLongBodyLimit + 1) + "\r\n\r\n",
+       {"Content-Length: " + std::to_string(http::kMaxLongBodySize + 1) + "\r\n\r\n",
         std::string("Content-Length: 18446744073709551615\r\n\r\n"),
         std::string("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"),
         std::string("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nfffffffffffffffe\r\n")}) {
--- a/tests/net/program.hpp
+++ b/tests/net/program.hpp
@@ -73,7 +73,8 @@
   void Hand(
       const std::string& config, const std::function<void()>& before = [] {}) {
     for (int i = 0; i < 2'000; ++i) {
-      Fd pipe(::open((folder_ + "/config.json").c_str(), O_WRONLY | O_NONBLOCK));  // fails without a reader
+      FileDescriptor pipe(
+          ::open((folder_ + "/config.json").c_str(), O_WRONLY | O_NONBLOCK));  // fails without a reader
       if (!pipe) {
         ::poll(nullptr, 0, 10);
         continue;
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -12,6 +12,7 @@
 #include <fstream>
 #include <string>
 
+#include "http/parser.hpp"
 #include "program.hpp"
 #include "support.hpp"
 
@@ -328,7 +329,7 @@
 
 // Guards against a cold worker looking warm: its start is told as Unix time.
 TEST_CASE("the loop's clock can be compared with Unix time and never goes back") {
-  Loop loop;
+  EventLoop loop;
   Micros off = loop.Now() - static_cast<Micros>(std::time(nullptr)) * 1'000'000;
   CHECK(off > -60'000 * kMs);
   CHECK(off < 60'000 * kMs);
@@ -348,7 +349,7 @@
     std::string request = Pay(id, body);
     for (std::size_t at = 0; at < request.size(); at += 30'000) {
       client.Say(std::string_view(request).substr(at, 30'000));
-      rig.loop.Round(0);
+      rig.loop.RunOnce(0);
     }
     Peer& at = rig.Request(worker, id);
     rig.Until("the worker has it all", [&] { return at.Has("z"); });
@@ -466,7 +467,7 @@
   const std::string piece(64 * 1024, 'x');
   for (int i = 0; i < 32; ++i) {  // 32 rounds of eight small reads would not take this
     client.Say(piece);
-    rig.loop.Round(0);
+    rig.loop.RunOnce(0);
   }
   rig.Until("the proxy closes", [&] { return client.Ended(); });
   CHECK_FALSE(client.reset);
@@ -496,14 +497,14 @@
   rig.Request(worker, "a1");  // a connection on each side
   Peer idle = rig.Client();
   rig.Until("both are taken", [&] { return rig.acceptor.connections() == 2; });
-  CHECK(rig.budget.used() == 3);
+  CHECK(rig.descriptors.used() == 3);
   Peer third = rig.Client();
   third.Say(Check("a2"));
   rig.Request(worker, "a2");
   rig.Until("the idle one went", [&] { return idle.Ended(); });
   Peer fourth = rig.Client();  // waits for one of the busy ones to go
   fourth.Say("GET /up HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 5; ++i) rig.loop.Round(0);
+  for (int i = 0; i < 5; ++i) rig.loop.RunOnce(0);
   CHECK(rig.acceptor.connections() == 2);
   busy.Close();
   rig.Hears(fourth, "HTTP/1.1 200 ");
@@ -522,11 +523,11 @@
   std::vector<Peer> crowd;
   for (int i = 0; i < 12; ++i) {
     crowd.push_back(rig.Client());
-    rig.loop.Round(0);
+    rig.loop.RunOnce(0);
   }
   rig.Until("the first of them went", [&] { return crowd[0].Ended() && crowd[4].Ended(); });
   CHECK(rig.workers.connections() == 1);
-  CHECK(rig.budget.used() <= 6);
+  CHECK(rig.descriptors.used() <= 6);
 }
 
 // Guards against tables that grow for as long as workers are replaced.
@@ -703,7 +704,7 @@
   rig.discovery.Fetch();
   Question(rig, "/discovery/hosts").Say(Answer(200, R"({"rev":40,"all":true,"targets":[]})"));
   rig.discovery.Fetch();
-  for (int i = 0; i < 5; ++i) rig.loop.Round(0);
+  for (int i = 0; i < 5; ++i) rig.loop.RunOnce(0);
   Peer client = rig.Client();
   client.Say(Check("a1"));
   rig.Request(worker, "a1").Say(Answer(200, "still there"));
@@ -723,7 +724,7 @@
         R"(","endpoint":"127.0.0.2:1","az":"here","model":"plain","pod_group":7,"state":"draining","boot_ms":0},)";
   }
   std::string whole = Answer(200, R"({"rev":43,"all":true,"targets":[)" + list + Listed("a", first) + "]}");
-  REQUIRE(whole.size() > http::kBodyLimit);
+  REQUIRE(whole.size() > http::kMaxBodySize);
   Peer& discovery = Question(rig, "/discovery/hosts?after=41&wait_ms=0");
   std::string_view left = whole;
   rig.Until("all is written", [&] {
@@ -779,16 +780,16 @@
 
 // Guards against an event that was fetched together with the one whose handler freed its receiver.
 TEST_CASE("no event reaches what has been forgotten, and timers go with their owners") {
-  Loop loop;
-  struct Sink final : EventSink {
+  EventLoop loop;
+  struct Sink final : EventHandler {
     void OnReady(std::uint32_t) override {
       ++called;
-      if (other != nullptr) loop->Forget(other->token, other->fd.get());
+      if (other != nullptr) loop->Unwatch(other->token, other->fd.get());
     }
-    Loop* loop = nullptr;
+    EventLoop* loop = nullptr;
     Sink* other = nullptr;
-    Fd fd;
-    Loop::Token token = 0;
+    FileDescriptor fd;
+    EventLoop::WatchId token = 0;
     int called = 0;
   };
   Sink a, b;
@@ -796,15 +797,15 @@
   a.other = &b, b.other = &a;
   int ends[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
-  a.fd = Fd(ends[0]), b.fd = Fd(ends[1]);
+  a.fd = FileDescriptor(ends[0]), b.fd = FileDescriptor(ends[1]);
   a.token = loop.Watch(a.fd.get(), &a), b.token = loop.Watch(b.fd.get(), &b);
-  loop.Again(a.token, 1), loop.Again(b.token, 1);
+  loop.NotifyAgain(a.token, 1), loop.NotifyAgain(b.token, 1);
   int fired = 0;
   {
     Timer timer(loop);
     timer.Set(0, [&] { ++fired; });
   }
-  for (int i = 0; i < 3; ++i) loop.Round(0);
+  for (int i = 0; i < 3; ++i) loop.RunOnce(0);
   CHECK((a.called == 0 || b.called == 0));
   CHECK(a.called + b.called > 0);
   CHECK(fired == 0);
@@ -813,12 +814,12 @@
 TEST_CASE("a log that repeats itself is cut short and says by how much") {
   std::FILE* file = std::tmpfile();
   Log log(file, "x");
-  for (int i = 0; i < 5'000; ++i) log.Line("line %d", i);
+  for (int i = 0; i < 5'000; ++i) log.Info("line %d", i);
   long size = std::ftell(file);
   CHECK(size > 100);
   CHECK(size < 20'000);
   // What comes once in a process's life is written all the same.
-  log.Always("started as %s", "x");
+  log.Important("started as %s", "x");
   CHECK(std::ftell(file) > size + 10);
   std::fclose(file);
 }
--- a/tests/net/stream_end_test.cpp
+++ b/tests/net/stream_end_test.cpp
@@ -4,6 +4,7 @@
 #include <optional>
 #include <string>
 
+#include "http/text.hpp"
 #include "support.hpp"
 
 namespace dappletiller::testing {
@@ -11,20 +12,20 @@
 
 // ---- The driver ----
 
-struct Recorder final : Channel::Owner {
-  explicit Recorder(Loop& loop) : channel(loop, *this) {}
-  std::span<char> Room() override { return room; }
-  void OnBytes(std::size_t n) override {
+struct Recorder final : StreamSocket::Callbacks {
+  explicit Recorder(EventLoop& loop) : socket(loop, *this) {}
+  std::span<char> ReceiveBuffer() override { return room; }
+  void OnReceived(std::size_t n) override {
     text.append(room.data(), n);
     if (!replies) return;
-    channel.out().Add("reply");
-    channel.Flush();
+    socket.output().Append("reply");
+    socket.Flush();
   }
-  void OnGone(StreamEnd how) override {
+  void OnClosed(StreamEnd how) override {
     ++gone;
     ended = how;
   }
-  Channel channel;
+  StreamSocket socket;
   std::array<char, 4096> room{};
   std::string text;
   bool replies = false;  // writes from within the read
@@ -37,7 +38,7 @@
   explicit Pair(Recorder& to) : peer(Peer::Dial(host.port)) {
     REQUIRE(host.Accept());
     // The host's own record of it stays empty: the channel owns the descriptor from here.
-    REQUIRE(to.channel.Adopt(host.peers.back().Release()));
+    REQUIRE(to.socket.Adopt(host.peers.back().Release()));
   }
   Host host;
   Peer peer;
@@ -54,7 +55,7 @@
           CAPTURE(fin_before);
           CAPTURE(static_cast<int>(met));
           CAPTURE(bytes);
-          Loop loop;
+          EventLoop loop;
           Recorder to(loop);
           Pair pair(to);
           to.replies = met == Met::kByWriteWithinRead;
@@ -65,18 +66,18 @@
           } else {
             pair.peer.EndSending();
           }
-          WaitOutsideTheLoop("the end lies in the kernel", [&] { return to.channel.PeerEnded(); });
-          if (met == Met::kByLook) CHECK(to.channel.Stale());
-          if (met == Met::kByPoll) CHECK(to.channel.PeerEnded());
+          WaitOutsideTheLoop("the end lies in the kernel", [&] { return to.socket.PeerHasClosed(); });
+          if (met == Met::kByLook) CHECK(to.socket.IsStale());
+          if (met == Met::kByPoll) CHECK(to.socket.PeerHasClosed());
           if (met == Met::kByWrite && reset) {
-            to.channel.out().Add("late");
-            to.channel.Flush();
+            to.socket.output().Append("late");
+            to.socket.Flush();
           }
-          for (int i = 0; to.gone == 0 && i < 1000; ++i) loop.Round(5 * kMs);
+          for (int i = 0; to.gone == 0 && i < 1000; ++i) loop.RunOnce(5 * kMs);
           REQUIRE(to.gone == 1);
           CHECK(to.text == (bytes ? "abc" : ""));
           CHECK((*to.ended == StreamEnd::kBroken) == reset);
-          for (int i = 0; i < 3; ++i) loop.Round(0);
+          for (int i = 0; i < 3; ++i) loop.RunOnce(0);
           CHECK(to.gone == 1);
         }
       }
@@ -85,7 +86,7 @@
 }
 
 TEST_CASE("what is known of a stream's end is not taken over to the next one") {
-  Loop loop;
+  EventLoop loop;
   Recorder to(loop);
   for (bool reset : {true, false}) {
     Pair pair(to);
@@ -95,7 +96,7 @@
       pair.peer.Close();
     }
     int before = to.gone;
-    for (int i = 0; to.gone == before && i < 1000; ++i) loop.Round(5 * kMs);
+    for (int i = 0; to.gone == before && i < 1000; ++i) loop.RunOnce(5 * kMs);
     CHECK((*to.ended == StreamEnd::kBroken) == reset);
   }
 }
--- a/tests/net/support.hpp
+++ b/tests/net/support.hpp
@@ -15,9 +15,12 @@
 #include <utility>
 #include <vector>
 
+#include "base/payload.hpp"
 #include "discovery/discovery_client.hpp"
 #include "dispatch/request_dispatcher.hpp"
 #include "downstream/listener.hpp"
+#include "http/body_memory.hpp"
+#include "http/parser.hpp"
 #include "upstream/upstream_pool.hpp"
 
 namespace dappletiller::testing {
@@ -29,10 +32,10 @@
 // One end of a connection, played by the test.
 class Peer {
  public:
-  explicit Peer(Fd fd) : fd_(std::move(fd)) {}
+  explicit Peer(FileDescriptor fd) : fd_(std::move(fd)) {}
   // `receive_buffer`: bytes that its kernel keeps for it; 0: the kernel's choice.
   static Peer Dial(std::uint16_t port, int receive_buffer = 0) {
-    Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     if (receive_buffer != 0) {
       REQUIRE(::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer) == 0);
     }
@@ -75,8 +78,8 @@
   bool Ended() { return Heard(), ended; }
   void Close() { fd_.Reset(); }
   void EndSending() { ::shutdown(fd_.get(), SHUT_WR); }
-  Fd Release() { return std::move(fd_); }  // to another owner
-  void Abort() {                           // ends in a reset
+  FileDescriptor Release() { return std::move(fd_); }  // to another owner
+  void Abort() {                                       // ends in a reset
     linger hard{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     fd_.Reset();
@@ -86,7 +89,7 @@
   bool reset = false;
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
 };
 
 // A listening socket on a port of the kernel's choice.
@@ -110,11 +113,11 @@
   // The queue is emptied: the kernels' next tries come through.
   void Open() {
     REQUIRE(::listen(fd_.get(), 64) == 0);
-    Fd plug(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    FileDescriptor plug(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     plug_.clear();
   }
   bool Accept() {  // true once another connection has come; it is the last of `peers`
-    Fd fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    FileDescriptor fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     if (!fd) return false;
     peers.emplace_back(std::move(fd));
     return true;
@@ -126,7 +129,7 @@
   std::vector<Peer> peers;
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
   std::vector<Peer> plug_;
 };
 
@@ -167,10 +170,10 @@
                std::size_t kept = 8, std::size_t places = 64, bool pushed = false, Micros write_for = kBound,
                Micros linger_for = 1'000 * kMs, std::size_t long_body_memory = 0)
       : gateway(loop, log, rules),
-        budget(connections, kept),
+        descriptors(connections, kept),
         long_bodies(std::make_shared<BodyMemory>(long_body_memory)),
-        workers(loop, log, gateway, budget, {kBound, idle}, long_bodies),
-        acceptor(loop, log, gateway, budget,
+        workers(loop, log, gateway, descriptors, {kBound, idle}, long_bodies),
+        acceptor(loop, log, gateway, descriptors,
                  {{kLoopback, 0},
                   {"check", "pay", "open"},
                   {kBound, kBound, kBound},
@@ -210,7 +213,7 @@
     while (!holds()) {
       INFO("waiting until " << std::string(what));
       REQUIRE(loop.Now() < end);
-      loop.Round(5 * kMs);
+      loop.RunOnce(5 * kMs);
     }
   }
 
@@ -232,10 +235,10 @@
   }
 
   Host registry;
-  Loop loop;
+  EventLoop loop;
   Log log{stderr, "test"};
   Gateway gateway;
-  Budget budget;
+  DescriptorLimit descriptors;
   std::shared_ptr<BodyMemory> long_bodies;
   WorkerLinks workers;
   Acceptor acceptor;
@@ -288,7 +291,7 @@
 
 // Waits for a condition while the proxy's loop stands still.
 inline void WaitOutsideTheLoop(const char* what, const std::function<bool()>& holds) {
-  Loop clock;
+  EventLoop clock;
   Micros end = clock.Now() + kBound;
   while (!holds()) {
     INFO("waiting until " << std::string(what));
@@ -311,7 +314,7 @@
   http::Parser parser(http::Parser::Kind::kRequest);
   parser.Feed(bytes);
   REQUIRE(parser.done());
-  return parser.Take();
+  return parser.TakeMessage();
 }
 
 }  // namespace dappletiller::testing
