--- a/src/admin/console.cpp
+++ b/src/admin/console.cpp
@@ -91,7 +91,7 @@
       return;  // EAGAIN, or no descriptor: the caller's connection waits in the kernel for its next edge
     }
     // Guards against silent callers holding every place: the one that has waited longest goes.
-    if (conns_.size() >= kMostCallers) Drop(conns_.begin()->first);
+    if (conns_.size() >= kMaxConnections) Drop(conns_.begin()->first);
     auto conn = std::make_unique<Conn>(*this, ++ids_);
     Conn& begun = *conn;
     conns_[ids_] = std::move(conn);
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -216,7 +216,7 @@
     return app.exit(e) == 0 ? 0 : 2;
   }
   if (*serve) return Serve(file);
-  if (*control) return Control(file);
+  if (*control) return RunControlServer(file);
   if (*settings) return SettingsStatus(console, json);
   if (*check) return CheckFile(file);
   if (*key) {
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -26,8 +26,8 @@
 constexpr std::array kForms = {Form{"text", false}, Form{"json", true}};
 
 constexpr std::uint32_t kLoopbackNet = 127;
-constexpr std::size_t kMostControlMachines = 16;
-constexpr std::size_t kMostFeedServices = 200;
+constexpr std::size_t kMaxConfigServers = 16;
+constexpr std::size_t kMaxFeedServices = 200;
 
 Endpoint Address(const Section& section, std::string_view key, const std::string& text) {
   auto endpoint = ParseEndpoint(text);
@@ -124,18 +124,18 @@
   std::sort(sorted.begin(), sorted.end());
   if (std::adjacent_find(sorted.begin(), sorted.end()) != sorted.end())
     s.Fail(key, "names a machine twice; remove one");
-  if (machines.size() > kMostControlMachines) s.Fail(key, "more than 16; a few are enough for any fleet");
+  if (machines.size() > kMaxConfigServers) s.Fail(key, "more than 16; a few are enough for any fleet");
   return machines;
 }
 
 SettingsFeedOptions ReadSettingsFeed(Section s) {
   SettingsFeedOptions feed;
-  feed.near = ControlMachines(s, "machines");
-  if (feed.near.empty())
+  feed.nearby = ControlMachines(s, "machines");
+  if (feed.nearby.empty())
     s.Fail("machines", "is missing; give the control machines, the near ones, as 127.0.0.1:9400");
   feed.others = ControlMachines(s, "others");
   for (const std::string& machine : feed.others) {
-    if (std::find(feed.near.begin(), feed.near.end(), machine) != feed.near.end())
+    if (std::find(feed.nearby.begin(), feed.nearby.end(), machine) != feed.nearby.end())
       s.Fail("others", machine + " is among machines already; remove one");
   }
   feed.services = s.Words("services");
@@ -144,9 +144,9 @@
     if (!word)
       s.Fail("services", "'" + service + "' is not a service's name; give a plain word without , / = ? # *");
   }
-  if (feed.services.size() > kMostFeedServices)
+  if (feed.services.size() > kMaxFeedServices)
     s.Fail("services", "more than 200; a proxy takes the services that it works with");
-  feed.whole_rate = s.Number("whole_bytes_per_s", 20'000, 1'000, 1e9);
+  feed.snapshot_rate = s.Number("whole_bytes_per_s", 20'000, 1'000, 1e9);
   s.RefuseOthers();
   return feed;
 }
@@ -161,7 +161,7 @@
     s.Fail("bind", "is not a loopback address; the feed has no keys yet, so nothing else is bound");
   control.others = ControlMachines(s, "others");
   control.origin = s.Text("origin");
-  control.places = s.Count("places", control.places, 1, 1'000);
+  control.snapshot_slots = s.Count("places", control.snapshot_slots, 1, 1'000);
   s.RefuseOthers();
   return control;
 }
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -31,21 +31,21 @@
   Duration lease_duration = std::chrono::seconds(3);
 };
 
-// A proxy that takes its settings from the feed (docs/feed.md).
+// A proxy that follows the configuration feed (docs/feed.md).
 struct SettingsFeedOptions {
-  std::vector<std::string> near;      // control machines of its region, by address
+  std::vector<std::string> nearby;    // config servers of its region, by address
   std::vector<std::string> others;    // asked once none of these answers
-  std::vector<std::string> services;  // whose entries it takes, beside everybody's
-  double whole_rate = 0;              // bytes a second for a whole
+  std::vector<std::string> services;  // whose entries it takes, beside those of all services
+  double snapshot_rate = 0;           // bytes a second for a snapshot
 };
 
-// A control machine of the settings feed.
+// A config server of the configuration feed.
 struct ControlOptions {
   std::string name;
   Endpoint bind;
-  std::vector<std::string> others;  // the other machines, by address
-  std::string origin;               // the file of the settings, where this machine is the origin
-  int places = 16;                  // wholes told at once
+  std::vector<std::string> others;  // the other replicas, by address
+  std::string origin;               // the origin's file, where this replica is the origin
+  int snapshot_slots = 16;          // snapshots sent at once
 };
 
 struct OperatorFile {
--- a/src/config_feed/follower.cpp
+++ b/src/config_feed/follower.cpp
@@ -6,218 +6,275 @@
 #include <algorithm>
 #include <utility>
 
-namespace dappletiller::feed {
+namespace dappletiller::config_feed {
+namespace {
+
+constexpr int kMaxDoublings = 3;
+
+std::uint64_t RendezvousWeight(const std::string& follower, const std::string& server) {
+  const std::string both = follower + "\n" + server;
+  return XXH3_64bits(both.data(), both.size());
+}
+
+}  // namespace
 
 Follower::Follower(FollowerOptions options)
     : options_(std::move(options)),
       random_(options_.seed, XXH3_64bits(options_.self.data(), options_.self.size())),
       scope_(options_.scope),
-      wanted_(options_.scope) {
-  Rank(std::move(options_.near), std::move(options_.others));
+      wanted_scope_(options_.scope) {
+  RankServers(std::move(options_.nearby), std::move(options_.others));
 }
 
 double Follower::Uniform() { return random_() * 0x1.0p-32; }
 
-void Follower::Rank(std::vector<std::string> near, std::vector<std::string> others) {
-  order_.clear();
-  for (auto* part : {&near, &others}) {
-    std::size_t first = order_.size();
-    for (std::string& address : *part) order_.push_back({std::move(address)});
-    auto weight = [this](const Machine& m) {
-      std::string both = options_.self + "\n" + m.address;
-      return XXH3_64bits(both.data(), both.size());
-    };
-    std::sort(order_.begin() + static_cast<std::ptrdiff_t>(first), order_.end(),
-              [&](const Machine& a, const Machine& b) { return weight(a) > weight(b); });
+void Follower::RankServers(std::vector<std::string> nearby, std::vector<std::string> others) {
+  servers_.clear();
+  for (auto* group : {&nearby, &others}) {
+    const auto first = static_cast<std::ptrdiff_t>(servers_.size());
+    for (std::string& address : *group) servers_.push_back({std::move(address)});
+    std::sort(servers_.begin() + first, servers_.end(), [this](const Server& a, const Server& b) {
+      return RendezvousWeight(options_.self, a.address) > RendezvousWeight(options_.self, b.address);
+    });
   }
-  at_ = best_ = look_ = 0;
+  current_ = newest_ = polled_ = 0;
 }
 
-const std::string& Follower::machine() const {
+const std::string& Follower::server() const {
   static const std::string kNone;
-  return order_.empty() ? kNone : order_[at_].address;
+  return servers_.empty() ? kNone : servers_[current_].address;
 }
 
-std::optional<Follower::Ask> Follower::Next(Micros now) {
-  if (asking_ || order_.empty() || now < due_) return std::nullopt;
-  if (!options_.look_round && at_ != 0 && now >= home_at_ && failures_ == 0) {
-    at_ = 0;
-    home_at_ = now + kHomeEvery;
+// ---- Requests ----
+
+std::optional<Follower::Request> Follower::NextRequest(Micros now) {
+  if (request_is_out_ || servers_.empty() || now < due_) return std::nullopt;
+  const bool may_return = !options_.polls_replicas && current_ != 0 && failures_ == 0;
+  if (may_return && now >= return_at_) {
+    current_ = 0;
+    return_at_ = now + kReturnInterval;
   }
-  asking_ = true;
-  Ask ask;
-  ask.machine = order_[at_].address;
-  ask.question.scope = wanted_;
-  ask.question.held = held_.head();
-  if (walk_) {
-    ask.question.held.epoch = walk_->store.head().epoch;
-    ask.question.held.version = walk_->store.head().version;
-    ask.question.began = walk_->began;
-  } else if (!(wanted_ == scope_)) {
-    ask.question.held.epoch = ask.question.held.version = 0;  // of this scope nothing is held
+  request_is_out_ = true;
+  Request request;
+  request.server = servers_[current_].address;
+  request.page.scope = wanted_scope_;
+  request.page.position = store_.head();
+  if (loading_) {
+    request.page.position.epoch = loading_->store.head().epoch;
+    request.page.position.version = loading_->store.head().version;
+    request.page.snapshot_began_at = loading_->began_at;
+  } else if (!(wanted_scope_ == scope_)) {
+    // Of this scope nothing is here.
+    request.page.position.epoch = 0;
+    request.page.position.version = 0;
   }
-  // The first question to a machine doesn't wait: what was missed is known at once.
-  bool news = walk_ || ask.question.held.epoch == 0 || failures_ > 0 || answered_at_ < 0;
-  ask.wait = news ? 0 : options_.look_round ? (at_ == best_ ? kLookEvery : 0) : kWait;
-  ask.within = ask.wait + kAnswerWithin;
-  return ask;
+  request.wait = WaitFor(request.page);
+  request.timeout = request.wait + kResponseTimeout;
+  return request;
+}
+
+// The first request to a server doesn't wait: what was missed is known at once.
+Micros Follower::WaitFor(const PageRequest& request) const {
+  const bool has_missed = loading_ || request.position.epoch == 0 || failures_ > 0 || complete_at_ < 0;
+  if (has_missed) return 0;
+  if (!options_.polls_replicas) return kLongPollTime;
+  return current_ == newest_ ? kReplicaPollInterval : 0;
+}
+
+// ---- Pages ----
+
+// A server with old settings, or an epoch that lost.
+bool Follower::IsOlder(const Page& page) const {
+  const StorePosition& held = store_.head();
+  if (page.head.serial != held.serial) return page.head.serial < held.serial;
+  return page.is_snapshot &&
+         std::pair(page.head.epoch, page.head.version) < std::pair(held.epoch, held.version);
 }
 
-// Whether a page joins what is here. Guards against an answer to another question, or one that leaves a gap.
-bool Follower::GoesOn(const Page& page) const {
-  if (page.to < page.after || page.to > page.head.version || page.head.epoch == 0) return false;
+bool Follower::HasOrderedVersions(const Page& page) const {
+  if (page.up_to < page.after || page.up_to > page.head.version || page.head.epoch == 0) return false;
   std::uint64_t before = page.after;
   for (const Change& change : page.changes) {
-    if (change.version <= before || change.version > page.to) return false;
+    if (change.version <= before || change.version > page.up_to) return false;
     before = change.version;
   }
-  if (page.whole) return page.after == 0 || (walk_ && walk_->store.head().version == page.after);
-  const Identity& held = held_.head();
-  auto line = [&](const Ancestor& a) { return a.epoch == held.epoch && held.version <= a.version; };
-  bool same =
-      page.head.epoch == held.epoch || std::any_of(page.ancestors.begin(), page.ancestors.end(), line);
-  return !walk_ && wanted_ == scope_ && page.after == held.version && same;
-}
-
-std::vector<Change> Follower::Answered(Micros now, const Page& page, std::size_t bytes) {
-  asking_ = false;
-  const Identity& held = held_.head();
-  // Guards against going back: a machine with old settings, or a line of versions that lost.
-  bool older = page.head.serial < held.serial ||
-               (page.whole && page.head.serial == held.serial &&
-                std::pair(page.head.epoch, page.head.version) < std::pair(held.epoch, held.version));
-  if (older) return Behind(now), std::vector<Change>();
-  if (!GoesOn(page)) return Failed(now), std::vector<Change>();
-  failures_ = round_failures_ = 0;
-  due_ = now;
-  if (page.to != page.after || page.whole) best_ = at_;
-  std::vector<Change> changes;
-  if (page.whole) {
-    if (!walk_ || page.after == 0) walk_.emplace(Walk{Store(), page.head.version});
-    walk_->store.Apply(page);
-    if (!page.last()) {
-      // Paced by what it takes, so that a whole leaves room for all else that a proxy is told.
-      if (options_.whole_rate > 0)
-        due_ += static_cast<Micros>(1e6 * static_cast<double>(bytes) / options_.whole_rate);
-      return changes;
-    }
-    changes = Replace();
-  } else {
-    for (const Change& change : page.changes) {
-      const std::string* held = held_.Find(change.key);
-      if (change.value ? held == nullptr || *held != *change.value : held != nullptr)
-        changes.push_back(change);
-    }
-    held_.Apply(page);
+  return true;
+}
+
+// Whether a page joins what is here: not the answer to another request, and no gap before it.
+bool Follower::Continues(const Page& page) const {
+  if (!HasOrderedVersions(page)) return false;
+  if (page.is_snapshot) {
+    return page.after == 0 || (loading_ && loading_->store.head().version == page.after);
+  }
+  const StorePosition& held = store_.head();
+  const bool same_epoch = page.head.epoch == held.epoch ||
+                          std::any_of(page.ancestors.begin(), page.ancestors.end(), [&](const Ancestor& a) {
+                            return a.epoch == held.epoch && held.version <= a.version;
+                          });
+  return !loading_ && wanted_scope_ == scope_ && page.after == held.version && same_epoch;
+}
+
+std::vector<Change> Follower::OnPage(Micros now, const Page& page, std::size_t size) {
+  request_is_out_ = false;
+  if (IsOlder(page)) {
+    OnServerBehind(now);
+    return {};
+  }
+  if (!Continues(page)) {
+    OnFailure(now);
+    return {};
   }
-  if (page.last()) answered_at_ = now;
-  if (page.last() && options_.look_round) LookRound(now);
+  failures_ = failures_until_backoff_ = 0;
+  due_ = now;
+  const bool has_news = page.up_to != page.after || page.is_snapshot;
+  if (has_news) newest_ = current_;
+  std::vector<Change> changes = page.is_snapshot ? TakeSnapshotPage(page, size) : TakeDeltaPage(page);
+  if (!page.is_last()) return changes;
+  complete_at_ = now;
+  if (options_.polls_replicas) PollNextReplica(now);
   return changes;
 }
 
-// From the machine that had the latest news to the next of the others, and back: two that follow one another
-// would else never hear of a third.
-void Follower::LookRound(Micros now) {
-  if (at_ != best_) {
-    at_ = best_;
-    return;
+std::vector<Change> Follower::TakeSnapshotPage(const Page& page, std::size_t size) {
+  if (!loading_ || page.after == 0) loading_.emplace(LoadingSnapshot{Store(), page.head.version});
+  loading_->store.Apply(page);
+  if (page.is_last()) return FinishSnapshot();
+  // Paced, so that a snapshot leaves room for all else that a proxy is sent.
+  if (options_.snapshot_rate > 0) {
+    due_ += static_cast<Micros>(1e6 * static_cast<double>(size) / options_.snapshot_rate);
   }
-  for (std::size_t i = 0; i < order_.size(); ++i) {
-    look_ = (look_ + 1) % order_.size();
-    if (look_ == best_ || order_[look_].shunned_until > now) continue;
-    at_ = look_;
-    return;
+  return {};
+}
+
+std::vector<Change> Follower::TakeDeltaPage(const Page& page) {
+  std::vector<Change> changes;
+  for (const Change& change : page.changes) {
+    const std::string* known = store_.Find(change.key);
+    const bool differs = change.value ? known == nullptr || *known != *change.value : known != nullptr;
+    if (differs) changes.push_back(change);
   }
+  store_.Apply(page);
+  return changes;
 }
 
-// The walk is done: what it found is in force, and the difference is told.
-std::vector<Change> Follower::Replace() {
+// The snapshot is in force from here on; the difference is returned.
+std::vector<Change> Follower::FinishSnapshot() {
   std::vector<Change> changes;
-  const Store& fresh = walk_->store;
-  held_.ForEach([&](const std::string& key, const std::string&) {
-    if (fresh.Find(key) == nullptr) changes.push_back({key, std::nullopt, 0});
+  const Store& loaded = loading_->store;
+  store_.ForEach([&](const std::string& key, const std::string&) {
+    if (loaded.Find(key) == nullptr) changes.push_back({key, std::nullopt, 0});
   });
-  fresh.ForEach([&](const std::string& key, const std::string& value) {
-    const std::string* held = held_.Find(key);
-    if (held == nullptr || *held != value) changes.push_back({key, value, 0});
+  loaded.ForEach([&](const std::string& key, const std::string& value) {
+    const std::string* known = store_.Find(key);
+    if (known == nullptr || *known != value) changes.push_back({key, value, 0});
   });
-  held_ = std::move(walk_->store);
-  walk_.reset();
-  scope_ = wanted_;
+  store_ = std::move(loading_->store);
+  loading_.reset();
+  scope_ = wanted_scope_;
   return changes;
 }
 
-// On to the best of the others: the first in order that has not failed of late, else the one whose failure is
-// the longest ago.
-void Follower::Leave(Micros now) {
-  asking_ = false;
+// ---- Failures ----
+
+void Follower::OnFailure(Micros now) { LeaveServer(now); }
+
+void Follower::LeaveServer(Micros now) {
+  request_is_out_ = false;
   ++failures_;
-  ++in_vain_;
-  if (order_.empty()) return;
-  order_[at_].shunned_until = now + kShunned;
-  std::size_t next = at_;
-  for (std::size_t i = 0; i < order_.size(); ++i) {
-    if (i == at_) continue;
-    bool free = order_[i].shunned_until <= now;
-    bool best_free = next != at_ && order_[next].shunned_until <= now;
-    if (next == at_ || (free && !best_free) ||
-        (!free && !best_free && order_[i].shunned_until < order_[next].shunned_until)) {
-      next = i;
-    }
-  }
-  at_ = best_ = next;
-  home_at_ = now + kHomeEvery;
+  ++vain_requests_;
+  if (servers_.empty()) return;
+  servers_[current_].deprioritized_until = now + kDeprioritizedTime;
+  current_ = newest_ = BestOtherServer(now);
+  return_at_ = now + kReturnInterval;
   due_ = now + static_cast<Micros>(kJitter * Uniform());
-  // All have failed in a row: a pause, doubling, so that a tier that comes back is not run over.
-  int all = static_cast<int>(order_.size());
-  if (++round_failures_ % all != 0) return;
-  Micros pause = std::min(kMostPause, kLeastPause << std::min(round_failures_ / all - 1, 3));
-  due_ = now + static_cast<Micros>(static_cast<double>(pause) * (0.5 + 0.5 * Uniform()));
+  // Once all have failed in a row a back-off, so that servers that come back are not overrun.
+  const int count = static_cast<int>(servers_.size());
+  ++failures_until_backoff_;
+  if (failures_until_backoff_ % count != 0) return;
+  const int doublings = std::min(failures_until_backoff_ / count - 1, kMaxDoublings);
+  const Micros backoff = std::min(kMaxBackoff, kMinBackoff << doublings);
+  due_ = now + static_cast<Micros>(static_cast<double>(backoff) * (0.5 + 0.5 * Uniform()));
 }
 
-void Follower::Busy(Micros now, Micros retry_after) {
-  asking_ = false;
-  failures_ = round_failures_ = 0;
-  // It has a turn there, which another machine would not know of.
-  Micros pause = std::clamp<Micros>(retry_after, kJitter, kMostRetryAfter);
-  due_ = now + pause + static_cast<Micros>(kJitter * Uniform());
+// The first in order that has not failed of late, else the one whose failure is the longest ago.
+std::size_t Follower::BestOtherServer(Micros now) const {
+  std::size_t best = current_;
+  for (std::size_t i = 0; i < servers_.size(); ++i) {
+    if (i == current_) continue;
+    const Server& server = servers_[i];
+    const bool is_free = server.deprioritized_until <= now;
+    const bool best_is_free = best != current_ && servers_[best].deprioritized_until <= now;
+    const bool is_first = best == current_;
+    const bool failed_earlier = server.deprioritized_until < servers_[best].deprioritized_until;
+    if (is_first || (!best_is_free && (is_free || failed_earlier))) best = i;
+  }
+  return best;
 }
 
-// For one that looks round a machine that is behind is none that fails: the origin finds only such.
-void Follower::Behind(Micros now) {
-  if (!options_.look_round) return Leave(now);
-  asking_ = false;
-  ++in_vain_;
-  if (at_ == best_) best_ = (best_ + 1) % order_.size();
-  LookRound(now);
-  due_ = now + static_cast<Micros>(static_cast<double>(kLookEvery) * (0.5 + 0.5 * Uniform()));
+void Follower::OnBusy(Micros now, Micros retry_after) {
+  request_is_out_ = false;
+  failures_ = failures_until_backoff_ = 0;
+  // It has a turn there, which another server would not know of.
+  const Micros wait = std::clamp<Micros>(retry_after, kJitter, kMaxRetryAfter);
+  due_ = now + wait + static_cast<Micros>(kJitter * Uniform());
 }
-void Follower::Failed(Micros now) { Leave(now); }
 
-void Follower::SetScope(Micros now, Scope scope) {
-  if (scope == wanted_) return;
-  wanted_ = std::move(scope);
-  walk_.reset();
-  // A question of the old scope that is out is void; the driver gives it up.
-  asking_ = false;
-  due_ = now;
+// In one that polls the replicas, a replica that is behind has not failed: the origin finds only such.
+void Follower::OnServerBehind(Micros now) {
+  if (!options_.polls_replicas) {
+    LeaveServer(now);
+    return;
+  }
+  request_is_out_ = false;
+  ++vain_requests_;
+  if (current_ == newest_) newest_ = (newest_ + 1) % servers_.size();
+  PollNextReplica(now);
+  due_ = now + static_cast<Micros>(static_cast<double>(kReplicaPollInterval) * (0.5 + 0.5 * Uniform()));
 }
 
-void Follower::SetMachines(Micros now, std::vector<std::string> near, std::vector<std::string> others) {
-  Rank(std::move(near), std::move(others));
-  asking_ = false;
-  failures_ = round_failures_ = 0;
-  home_at_ = 0;
-  due_ = now;
+// From the replica that had the latest change to the next of the others, and back: two that follow one
+// another would else never learn of a third.
+void Follower::PollNextReplica(Micros now) {
+  if (current_ != newest_) {
+    current_ = newest_;
+    return;
+  }
+  for (std::size_t i = 0; i < servers_.size(); ++i) {
+    polled_ = (polled_ + 1) % servers_.size();
+    if (polled_ == newest_ || servers_[polled_].deprioritized_until > now) continue;
+    current_ = polled_;
+    return;
+  }
 }
 
-std::set<std::string, std::less<>> Follower::Publish(Micros now, std::uint64_t serial, std::uint64_t epoch,
-                                                     const std::vector<Change>& changes) {
-  auto touched = held_.Publish(serial, epoch, changes);
-  walk_.reset();
-  asking_ = false;
+// ---- What its owner changes ----
+
+void Follower::AbandonRequest(Micros now) {
+  request_is_out_ = false;
   due_ = now;
+}
+
+void Follower::SetScope(Micros now, Scope scope) {
+  if (scope == wanted_scope_) return;
+  wanted_scope_ = std::move(scope);
+  loading_.reset();
+  AbandonRequest(now);
+}
+
+void Follower::SetServers(Micros now, std::vector<std::string> nearby, std::vector<std::string> others) {
+  RankServers(std::move(nearby), std::move(others));
+  failures_ = failures_until_backoff_ = 0;
+  return_at_ = 0;
+  AbandonRequest(now);
+}
+
+ServiceSet Follower::Publish(Micros now, std::uint64_t serial, std::uint64_t epoch,
+                             const std::vector<Change>& changes) {
+  ServiceSet touched = store_.Publish(serial, epoch, changes);
+  loading_.reset();
+  AbandonRequest(now);
   return touched;
 }
 
-}  // namespace dappletiller::feed
+}  // namespace dappletiller::config_feed
--- a/src/config_feed/follower.hpp
+++ b/src/config_feed/follower.hpp
@@ -1,20 +1,21 @@
-// Following the settings feed: which control machine to ask next, when, for what, and what an answer changes.
-// The same code in a proxy, in a control machine that follows another, and in simulated time. Pure: time
-// comes in as an argument (microseconds, monotonic), chance from the seed.
+// Following the configuration feed: which config server to ask next, when, for what, and what an answer
+// changes. The same code runs in a proxy, in a config server that follows the others, and in simulated time.
 //
-// One question is out at a time. A watch goes on by itself; what fails goes to the next machine at once, in
-// an order of its own for each follower (rendezvous hashing, Thaler and Ravishankar 1998, the near ones
-// first), so that the load of a lost machine spreads over all others. A machine that failed goes last for a
-// while. Once all have failed in a row the pauses double up to kMostPause. What is held stays in force
-// throughout.
+// One request is out at a time. A long poll follows the last by itself; what fails goes to the next server at
+// once, in an order of its own for each follower (rendezvous hashing, Thaler and Ravishankar 1998, the nearby
+// ones first), so that the load of a lost server spreads over all others. A server that failed is
+// deprioritized for a while. Once all have failed in a row there is a back-off. What is in force stays in
+// force throughout.
 //
-// In force: from a change at a machine that is reached until it is here costs at most kWait + kAnswerWithin
-// for noticing a watch that fell silent, kAnswerWithin for each other machine that is silent too, and a
-// jitter of kJitter each: with 8 machines, 7 of them silent, 2 + 1 + 7 x 1 + 8 x 0.05 = 10.4 s, below the aim
-// of 12 s.
+// From a change at a server that is reached until it is in force here takes at most kLongPollTime +
+// kResponseTimeout for noticing a long poll that fell silent, kResponseTimeout for each other server that is
+// silent too, and kJitter each: with 8 servers, 7 of them silent, 2 + 1 + 7 x 1 + 8 x 0.05 = 10.4 s.
+//
+// Pure: time comes in (microseconds, monotonic), randomness from the seed. Not thread-safe.
 #ifndef DAPPLETILLER_CONFIG_FEED_FOLLOWER_HPP_
 #define DAPPLETILLER_CONFIG_FEED_FOLLOWER_HPP_
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <pcg_random.hpp>
@@ -24,116 +25,121 @@
 #include "base/time.hpp"
 #include "config_feed/store.hpp"
 
-namespace dappletiller::feed {
+namespace dappletiller::config_feed {
 
-constexpr Micros kWait = 2'000'000;          // a watch waits so long at the machine for news
-constexpr Micros kAnswerWithin = 1'000'000;  // then its answer comes, or the machine counts as silent
-constexpr Micros kJitter = 50'000;           // before the next machine is asked
-constexpr Micros kLeastPause = 250'000;      // once all have failed in a row; doubles
-constexpr Micros kMostPause = 2'000'000;
-constexpr Micros kMostRetryAfter = 4'000'000;  // a machine may ask for no longer a pause than this
-constexpr Micros kShunned = 30'000'000;        // a machine that failed goes last for so long
-constexpr Micros kHomeEvery = 30'000'000;      // how often the first of the order is tried anew
-constexpr Micros kLookEvery = 500'000;         // a control machine's watch, between looks at the others
-constexpr std::size_t kMostMachines = 16;
+constexpr Micros kLongPollTime = 2'000'000;     // that a request waits at the server for a change
+constexpr Micros kResponseTimeout = 1'000'000;  // after that
+constexpr Micros kJitter = 50'000;              // before the next server is asked
+constexpr Micros kMinBackoff = 250'000;         // once all servers have failed in a row; doubles
+constexpr Micros kMaxBackoff = 2'000'000;
+constexpr Micros kMaxRetryAfter = 4'000'000;       // that a server may ask for
+constexpr Micros kDeprioritizedTime = 30'000'000;  // of a server that failed
+constexpr Micros kReturnInterval = 30'000'000;  // between attempts to return to the first server of the order
+constexpr Micros kReplicaPollInterval = 500'000;  // of a config server, between polls of the other replicas
+constexpr std::size_t kMaxServers = 16;
 
 struct FollowerOptions {
-  std::string self;                 // its name: orders the machines, and names its place in a queue
-  std::vector<std::string> near;    // machines of its region, by address
+  std::string self;                 // its name: orders the servers, and names its slot in a queue
+  std::vector<std::string> nearby;  // config servers of its region, by address
   std::vector<std::string> others;  // asked once none of these is left
   std::uint64_t seed = 0;
   Scope scope;
-  // Bytes a second that a whole may take; what follows it is not paced. 0: as fast as it goes.
-  double whole_rate = 0;
-  // Control machines: none of them is followed for long, all are looked at in turn (LookRound).
-  bool look_round = false;
+  double snapshot_rate = 0;  // bytes a second that snapshots may take, 0: no limit; deltas are not paced
+  // In a config server: none of the others is followed for long, all are polled in turn.
+  bool polls_replicas = false;
 };
 
 class Follower {
  public:
+  static constexpr Micros kNever = Micros{1} << 62;
+
   explicit Follower(FollowerOptions options);
 
-  struct Ask {
-    std::string machine;  // by address
-    Question question;
-    Micros wait = 0;    // for news, at the machine
-    Micros within = 0;  // then it counts as silent
+  struct Request {
+    std::string server;  // by address
+    PageRequest page;
+    Micros wait = 0;     // for a change, at the server
+    Micros timeout = 0;  // then the server counts as silent
   };
-  // What to ask now, if a question is due; it counts as out until one of the four below. `due` tells when.
-  std::optional<Ask> Next(Micros now);
-  Micros due() const { return asking_ ? kNever : due_; }
-  static constexpr Micros kNever = std::int64_t{1} << 62;
-
-  // What became of the question. Answered returns what is different now in what is in force (empty within a
-  // walk of the whole: it is in force once it is all here).
-  std::vector<Change> Answered(Micros now, const Page& page, std::size_t bytes);
-  void Busy(Micros now, Micros retry_after);  // the machine has no place for a whole now
-  void Behind(Micros now);                    // the machine holds something older than this
-  void Failed(Micros now);                    // silent, unreachable, or not understood
-
-  // The question that is out is given up without a word on its machine: it is asked anew.
-  void Void(Micros now) {
-    asking_ = false;
-    due_ = now;
-  }
-  // Another scope: a walk of the whole begins; what is held stays in force until it is done.
+  // The request to send now, if one is due. It counts as out until one of the next four says what became of
+  // it.
+  std::optional<Request> NextRequest(Micros now);
+  // When the next request is due; kNever while one is out.
+  Micros due() const { return request_is_out_ ? kNever : due_; }
+
+  // Returns how what is in force has changed: nothing while a snapshot is loaded, which takes effect once it
+  // is all here. `size` is the answer's, in bytes.
+  std::vector<Change> OnPage(Micros now, const Page& page, std::size_t size);
+  void OnBusy(Micros now, Micros retry_after);  // the server has no slot for a snapshot now
+  void OnServerBehind(Micros now);              // the server holds something older than this follower
+  void OnFailure(Micros now);                   // silent, unreachable, or not understood
+
+  // Gives up the request that is out without a judgement on its server; it is sent anew.
+  void AbandonRequest(Micros now);
+  // The next three void the request that is out; the caller has to give it up.
+  // With another scope a snapshot is loaded; what is in force stays until that is done.
   void SetScope(Micros now, Scope scope);
-  // Another set of machines; an open question is to be given up by the driver.
-  void SetMachines(Micros now, std::vector<std::string> near, std::vector<std::string> others);
-  // As the origin, which follows the others as well: changes what is held. A question that is out is void, as
-  // after the two above: its driver gives it up. Returns the services that are touched.
-  std::set<std::string, std::less<>> Publish(Micros now, std::uint64_t serial, std::uint64_t epoch,
-                                             const std::vector<Change>& changes);
-
-  // What is in force.
-  const Store& held() const { return held_; }
+  void SetServers(Micros now, std::vector<std::string> nearby, std::vector<std::string> others);
+  // As the origin, which follows the others as well. Returns the services that are touched.
+  ServiceSet Publish(Micros now, std::uint64_t serial, std::uint64_t epoch,
+                     const std::vector<Change>& changes);
+
+  const Store& store() const { return store_; }  // what is in force
   const Scope& scope() const { return scope_; }  // of what is in force
-  bool walking() const { return walk_.has_value(); }
-  bool current() const { return answered_at_ >= 0 && failures_ == 0; }
-  // When a machine last said that all is here; -1: never.
-  Micros answered_at() const { return answered_at_; }
+  bool is_loading_snapshot() const { return loading_.has_value(); }
+  bool is_current() const { return complete_at_ >= 0 && failures_ == 0; }
+  // When a server last said that all is here; -1: never.
+  Micros complete_at() const { return complete_at_; }
   int failures() const { return failures_; }  // in a row
-  // Whether any machine that has something has told it, or each has been asked in vain.
-  bool settled() const { return answered_at_ >= 0 || in_vain_ >= order_.size(); }
-  const std::string& machine() const;  // the one asked, or asked next; empty: none is known
-  bool looks_round() const { return options_.look_round; }
-  std::size_t machines() const { return order_.size(); }
+  // Whether a server that holds something has said what, or each has been asked in vain.
+  bool is_settled() const { return complete_at_ >= 0 || vain_requests_ >= servers_.size(); }
+  // The server that is asked, or is asked next; empty: none is known.
+  const std::string& server() const;
+  bool polls_replicas() const { return options_.polls_replicas; }
+  std::size_t server_count() const { return servers_.size(); }
 
  private:
-  struct Machine {
+  struct Server {
     std::string address;
-    Micros shunned_until = 0;
+    Micros deprioritized_until = 0;
   };
-  struct Walk {
+  struct LoadingSnapshot {
     Store store;
-    std::uint64_t began = 0;
+    std::uint64_t began_at = 0;  // the head's version then
   };
+
   double Uniform();
-  void Rank(std::vector<std::string> near, std::vector<std::string> others);
-  void Leave(Micros now);
-  void LookRound(Micros now);
-  bool GoesOn(const Page& page) const;
-  std::vector<Change> Replace();
+  void RankServers(std::vector<std::string> nearby, std::vector<std::string> others);
+  Micros WaitFor(const PageRequest& request) const;
+  bool IsOlder(const Page& page) const;
+  bool Continues(const Page& page) const;
+  bool HasOrderedVersions(const Page& page) const;
+  std::vector<Change> TakeSnapshotPage(const Page& page, std::size_t size);
+  std::vector<Change> TakeDeltaPage(const Page& page);
+  std::vector<Change> FinishSnapshot();
+  void LeaveServer(Micros now);
+  std::size_t BestOtherServer(Micros now) const;
+  void PollNextReplica(Micros now);
 
   FollowerOptions options_;
   pcg32 random_;
-  Scope scope_;   // of what is held
-  Scope wanted_;  // of what is asked for
-  Store held_;
-  std::optional<Walk> walk_;
-  std::vector<Machine> order_;  // first choice first
-  std::size_t at_ = 0;
-  bool asking_ = false;
+  Scope scope_;
+  Scope wanted_scope_;
+  Store store_;
+  std::optional<LoadingSnapshot> loading_;
+  std::vector<Server> servers_;  // first choice first
+  std::size_t current_ = 0;      // the server that is asked
+  bool request_is_out_ = false;
   Micros due_ = 0;
   int failures_ = 0;
-  int round_failures_ = 0;
-  std::size_t in_vain_ = 0;  // questions, since the start
-  std::size_t best_ = 0;     // look_round: the machine that had the latest news
-  std::size_t look_ = 0;     // and the one looked at last beside it
-  Micros home_at_ = 0;
-  Micros answered_at_ = -1;
+  int failures_until_backoff_ = 0;  // in a row, since the servers were last ranked
+  std::size_t vain_requests_ = 0;   // since the start
+  std::size_t newest_ = 0;          // polls_replicas: the replica that had the latest change
+  std::size_t polled_ = 0;          // polls_replicas: the one polled last beside it
+  Micros return_at_ = 0;
+  Micros complete_at_ = -1;
 };
 
-}  // namespace dappletiller::feed
+}  // namespace dappletiller::config_feed
 
 #endif  // DAPPLETILLER_CONFIG_FEED_FOLLOWER_HPP_
--- a/src/config_feed/values.cpp
+++ b/src/config_feed/values.cpp
@@ -1,71 +1,62 @@
 #include "config_feed/values.hpp"
 
-#include <json/json.h>
+#include <array>
+#include <cstdio>
+#include <optional>
 
-#include <cmath>
-#include <memory>
+#include "config_feed/json_text.hpp"
 
-namespace dappletiller::feed {
+namespace dappletiller::config_feed {
 namespace {
 
-constexpr double kMostQuota = 1e9;
-constexpr double kMostGiveUp = 3.6e9;  // an hour, in microseconds
+constexpr double kMaxQuota = 1e9;
+constexpr double kMaxClientWait = 3.6e9;  // an hour, in microseconds
+constexpr const char* kNoObject = "value is no JSON object";
 
-std::optional<Json::Value> Object(std::string_view json, std::string* why) {
-  Json::CharReaderBuilder builder;
-  Json::CharReaderBuilder::strictMode(&builder.settings_);
-  std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
-  Json::Value root;
-  std::string errors;
-  try {
-    if (reader->parse(json.data(), json.data() + json.size(), &root, &errors) && root.isObject()) return root;
-  } catch (const Json::Exception&) {  // the reader's own limits
-  }
-  *why = "value is no JSON object";
-  return std::nullopt;
+std::optional<Json::Value> ParseObject(std::string_view json) {
+  auto value = ParseStrictJson(json);
+  if (!value || !value->isObject()) return std::nullopt;
+  return value;
 }
 
-bool Number(const Json::Value& object, const char* key, double least, double most, double* to,
-            std::string* why) {
+Result<double, ValueError> ReadNumber(const Json::Value& object, const char* key, double min, double max) {
   const Json::Value& value = object[key];
-  if (value.isNumeric() && value.asDouble() >= least && value.asDouble() <= most) {
-    *to = value.asDouble();
-    return true;
-  }
-  char range[80];
-  std::snprintf(range, sizeof range, " is missing or out of range; give a number from %g to %g", least, most);
-  *why = std::string("value.") + key + range;
-  return false;
+  if (value.isNumeric() && value.asDouble() >= min && value.asDouble() <= max) return value.asDouble();
+  std::array<char, 80> range;
+  std::snprintf(range.data(), range.size(), " is missing or out of range; give a number from %g to %g", min,
+                max);
+  return Failure{ValueError{std::string("value.") + key + range.data()}};
+}
+
+std::optional<ClassEffect> ParseEffect(const Json::Value& effect) {
+  if (!effect.isString()) return std::nullopt;
+  const std::string word = effect.asString();
+  if (word == "free") return ClassEffect::kFree;
+  if (word == "guarded") return ClassEffect::kGuarded;
+  if (word == "single_shot") return ClassEffect::kSingleShot;
+  return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<TenantValue> ReadTenant(std::string_view json, std::string* why) {
-  TenantValue tenant;
-  auto object = Object(json, why);
-  if (!object || !Number(*object, "portion", 0, 1, &tenant.portion, why) ||
-      !Number(*object, "quotaRps", 0, kMostQuota, &tenant.quota_per_s, why)) {
-    return std::nullopt;
-  }
-  return tenant;
+Result<TenantValue, ValueError> ParseTenant(std::string_view json) {
+  const auto object = ParseObject(json);
+  if (!object) return Failure{ValueError{kNoObject}};
+  const auto share = ReadNumber(*object, "portion", 0, 1);
+  if (!share) return Failure{share.error()};
+  const auto quota = ReadNumber(*object, "quotaRps", 0, kMaxQuota);
+  if (!quota) return Failure{quota.error()};
+  return TenantValue{*share, *quota};
 }
 
-std::optional<ClassValue> ReadClass(std::string_view json, std::string* why) {
-  ClassValue value;
-  double give_up = 0;
-  auto object = Object(json, why);
-  if (!object || !Number(*object, "giveUp", 1, kMostGiveUp, &give_up, why)) return std::nullopt;
-  value.give_up = static_cast<std::int64_t>(give_up);
-  std::string effect = (*object)["effect"].isString() ? (*object)["effect"].asString() : "";
-  if (effect == "guarded") {
-    value.effect = ClassEffect::kGuarded;
-  } else if (effect == "single_shot") {
-    value.effect = ClassEffect::kSingleShot;
-  } else if (effect != "free") {
-    *why = "value.effect is unknown; give one of free, guarded, single_shot";
-    return std::nullopt;
-  }
-  return value;
+Result<ClassValue, ValueError> ParseClass(std::string_view json) {
+  const auto object = ParseObject(json);
+  if (!object) return Failure{ValueError{kNoObject}};
+  const auto max_wait = ReadNumber(*object, "giveUp", 1, kMaxClientWait);
+  if (!max_wait) return Failure{max_wait.error()};
+  const auto effect = ParseEffect((*object)["effect"]);
+  if (!effect) return Failure{ValueError{"value.effect is unknown; give one of free, guarded, single_shot"}};
+  return ClassValue{static_cast<Micros>(*max_wait), *effect};
 }
 
-}  // namespace dappletiller::feed
+}  // namespace dappletiller::config_feed
--- a/src/config_feed/values.hpp
+++ b/src/config_feed/values.hpp
@@ -1,32 +1,41 @@
-// What the program makes of a value of a kind it knows. Used where values are written (the origin checks
-// them) and where they come in force, so that both agree.
+// What the program makes of the values of kinds that it knows. Used where values are published (the origin
+// checks them) and where they take effect, so that both agree.
 #ifndef DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
 #define DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
 
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
 
-namespace dappletiller::feed {
+#include "base/result.hpp"
+#include "base/time.hpp"
 
-constexpr std::string_view kTenant = "tenant";
-constexpr std::string_view kClass = "class";
+namespace dappletiller::config_feed {
+
+constexpr std::string_view kTenantKind = "tenant";
+constexpr std::string_view kClassKind = "class";
 
 struct TenantValue {
-  double portion = 0;      // of the service, 0 to 1
-  double quota_per_s = 0;  // requests a second within its share, over all proxies
+  double share = 0;             // of the service, 0 to 1
+  double quota_per_second = 0;  // requests within its share, over all proxies
 };
+
+// What a request of a class may do if it runs more than once.
 enum class ClassEffect { kFree, kGuarded, kSingleShot };
+
 struct ClassValue {
-  std::int64_t give_up = 0;  // microseconds that a client waits at most
+  Micros max_client_wait = 0;
   ClassEffect effect = ClassEffect::kFree;
 };
 
-// Nothing if the value is not one; `why` then names the key in it and the remedy.
-std::optional<TenantValue> ReadTenant(std::string_view json, std::string* why);
-std::optional<ClassValue> ReadClass(std::string_view json, std::string* why);
+// What is wrong with a value, in one phrase that names the key in it and the remedy.
+struct ValueError {
+  std::string message;
+};
+
+Result<TenantValue, ValueError> ParseTenant(std::string_view json);
+Result<ClassValue, ValueError> ParseClass(std::string_view json);
 
-}  // namespace dappletiller::feed
+}  // namespace dappletiller::config_feed
 
 #endif  // DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
--- a/src/control_server/control_server.hpp
+++ b/src/control_server/control_server.hpp
@@ -1,5 +1,4 @@
-// One machine of the settings feed (`dappletiller control`), from its start to its end: reads the origin's
-// file if it has one, follows the others, tells proxies and machines.
+// The `control` subcommand: one config server of the configuration feed, from its start to its end.
 #ifndef DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
 #define DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
 
@@ -7,8 +6,9 @@
 
 namespace dappletiller {
 
-// Until SIGTERM; the exit code (0: ended as asked, 1: it could not start, said in one line; 2: a bad file).
-int Control(const std::string& operator_path);
+// Serves until SIGTERM or SIGINT. Returns the exit code: 0 for an orderly end, 1 if it could not start, 2 if
+// the operator file is at fault; the log says why in one line.
+int RunControlServer(const std::string& operator_path);
 
 }  // namespace dappletiller
 
--- a/src/control_server/feed_server.cpp
+++ b/src/control_server/feed_server.cpp
@@ -7,11 +7,12 @@
 #include <array>
 #include <cerrno>
 #include <cstring>
+#include <string_view>
 #include <system_error>
 #include <utility>
 #include <vector>
 
-#include "config_feed/page_json.hpp"
+#include "config_feed/page_codec.hpp"
 #include "http/parser.hpp"
 #include "http/writer.hpp"
 #include "io/stream_socket.hpp"
@@ -19,160 +20,211 @@
 namespace dappletiller {
 namespace {
 
-constexpr int kAcceptsAtOnce = 64;
-constexpr Micros kRetryAccept = 50'000;
+using config_feed::IfUnchanged;
+using config_feed::Response;
+
+constexpr int kMaxAcceptsPerRound = 64;
+constexpr Micros kRetryAcceptAfter = 50'000;
+constexpr std::size_t kDiscardBufferSize = 512;
+
+// A response other than a page.
+struct Refusal {
+  int status = 0;
+  std::string_view text;
+  Micros retry_after = 0;
+};
 
 }  // namespace
 
-class FeedServer::Conn final : public StreamSocket::Callbacks {
+// One follower's connection: one request at a time, kept alive between them.
+class FeedServer::Connection final : public StreamSocket::Callbacks {
  public:
-  Conn(FeedServer& server, std::uint64_t id)
-      : socket(server.loop_, *this), server_(server), id_(id), timer_(server.loop_) {
-    Rest();
+  Connection(FeedServer& server, ConnectionId id)
+      : server_(server), id_(id), socket_(server.loop_, *this), timer_(server.loop_) {
+    AwaitRequest();
   }
 
+  bool Adopt(FileDescriptor accepted) { return socket_.Adopt(std::move(accepted)); }
+  void Close() { socket_.Close(); }
+
+  // Entries of these services have changed: only what is in its scope concerns it.
+  void NotifyChanged(const config_feed::ServiceSet& services) {
+    if (!waiting_) return;
+    const config_feed::Scope& scope = request_.page.scope;
+    const bool concerned =
+        scope.all || std::any_of(services.begin(), services.end(),
+                                 [&](const auto& service) { return scope.Includes(service); });
+    if (concerned) Answer(IfUnchanged::kWait);
+  }
+
+ private:
   std::span<char> ReceiveBuffer() override {
-    std::span<char> room = parser_.ReceiveBuffer();
-    return room.empty() ? std::span<char>(sink_) : room;  // to hear the end of one that waits
+    const std::span<char> buffer = parser_.ReceiveBuffer();
+    // What comes while a request waits is read away, so that the end of its connection is seen.
+    return buffer.empty() ? std::span<char>(discard_buffer_) : buffer;
   }
-  void OnReceived(std::size_t n) override {
-    if (parser_.done() || parser_.bad()) return;  // nobody asks ahead; what comes is read away
-    parser_.Commit(n);
-    if (parser_.bad()) return Say(parser_.error_status(), "the question is malformed or too large", 0, false);
-    if (!parser_.done() || waiting_ || writing_) return;
-    Take();
+
+  void OnReceived(std::size_t count) override {
+    if (parser_.done() || parser_.bad()) return;
+    parser_.Commit(count);
+    if (parser_.bad()) {
+      keep_alive_ = false;
+      Refuse({parser_.error_status(), "the question is malformed or too large"});
+    } else if (parser_.done() && !waiting_ && !writing_) {
+      HandleRequest();
+    }
   }
+
   void OnFlushed() override {
     if (!std::exchange(writing_, false)) return;
-    if (!keep_) return server_.Drop(id_);
-    Rest();
-    if (parser_.done()) Take();
-  }
-  void OnClosed(StreamEnd) override { server_.Drop(id_); }
-
-  // Something has changed: only what is in its scope is news to it.
-  void Wake(const std::set<std::string, std::less<>>& services) {
-    bool news = asked_.question.scope.all ||
-                std::any_of(services.begin(), services.end(), [this](const std::string& service) {
-                  return asked_.question.scope.Takes(service);
-                });
-    if (waiting_ && news) Tell(true);
+    if (!keep_alive_) {
+      server_.Drop(id_);
+      return;
+    }
+    AwaitRequest();
+    if (parser_.done()) HandleRequest();
   }
 
-  StreamSocket socket;
+  void OnClosed(StreamEnd) override { server_.Drop(id_); }
 
- private:
-  void Rest() {
+  void AwaitRequest() {
     timer_.Set(kIdleTime, [this] { server_.Drop(id_); });
   }
 
-  void Take() {
-    http::MessageRef request = parser_.TakeMessage();
-    keep_ = request->keep_alive();
-    if (request->method() != "GET") return Say(405, "GET only", 0, false);
-    auto asked = feed::ReadQuestion(request->target());
-    if (!asked)
-      return Say(request->path() == "/feed" ? 400 : 404, "no question of the settings feed", 0, false);
-    asked_ = std::move(*asked);
-    until_ = server_.loop_.Now() + asked_.wait_ms * 1000;
-    Tell(asked_.wait_ms > 0);
+  void HandleRequest() {
+    const http::MessageRef message = parser_.TakeMessage();
+    keep_alive_ = message->keep_alive();
+    if (message->method() != "GET") {
+      keep_alive_ = false;
+      Refuse({405, "GET only"});
+      return;
+    }
+    auto request = config_feed::ParseRequest(message->target());
+    if (!request) {
+      keep_alive_ = false;
+      Refuse({message->path() == "/feed" ? 400 : 404, "no question of the settings feed"});
+      return;
+    }
+    request_ = std::move(*request);
+    wait_until_ = server_.loop_.Now() + request_.wait_ms * 1000;
+    Answer(request_.wait_ms > 0 ? IfUnchanged::kWait : IfUnchanged::kAnswer);
   }
 
-  void Tell(bool may_wait) {
-    Micros now = server_.loop_.Now();
-    feed::Reply reply = server_.machine_.Hear(now, asked_.self, asked_.question, may_wait && now < until_);
-    if (reply.kind == feed::Reply::Kind::kWait) {
-      waiting_ = true;
+  void Answer(IfUnchanged if_unchanged) {
+    const Micros now = server_.loop_.Now();
+    if (now >= wait_until_) if_unchanged = IfUnchanged::kAnswer;
+    const Response response =
+        server_.config_server_.HandleRequest(now, request_.follower, request_.page, if_unchanged);
+    waiting_ = response.kind == Response::Kind::kWait;
+    if (waiting_) {
       server_.waiting_.insert(id_);
-      timer_.Set(until_ - now, [this] { Tell(false); });
+      timer_.Set(wait_until_ - now, [this] { Answer(IfUnchanged::kAnswer); });
       return;
     }
-    waiting_ = false;
     server_.waiting_.erase(id_);
-    if (reply.kind == feed::Reply::Kind::kBusy)
-      return Say(503, "no place for a whole now", reply.retry_after, keep_);
-    if (reply.kind == feed::Reply::Kind::kBehind) return Say(409, "this machine is behind", 0, keep_);
-    ++server_.pages_;
-    Say(200, feed::WritePage(reply.page), 0, keep_, "application/json");
+    switch (response.kind) {
+      case Response::Kind::kPage:
+        Write(200, config_feed::WritePage(response.page), 0, "application/json");
+        break;
+      case Response::Kind::kBusy:
+        Refuse({503, "no place for a whole now", response.retry_after});
+        break;
+      case Response::Kind::kBehind:
+        Refuse({409, "this machine is behind"});
+        break;
+      case Response::Kind::kWait:
+        break;
+    }
   }
 
-  void Say(int status, std::string_view text, Micros retry_after, bool keep,
-           std::string_view type = "text/plain") {
-    keep_ = keep;
+  void Refuse(const Refusal& refusal) {
+    Write(refusal.status, refusal.text, refusal.retry_after, "text/plain");
+  }
+
+  void Write(int status, std::string_view text, Micros retry_after, std::string_view content_type) {
     writing_ = true;
-    server_.bytes_ += text.size();
-    timer_.Set(kIdleTime, [this] { server_.Drop(id_); });
-    http::WriteStatusResponse(status, text, retry_after, keep, &socket.output(), type);
-    socket.Flush();
+    AwaitRequest();  // the same time is given for the answer to leave
+    http::WriteStatusResponse(status, text, retry_after, keep_alive_, &socket_.output(), content_type);
+    socket_.Flush();
   }
 
   FeedServer& server_;
-  std::uint64_t id_;
+  ConnectionId id_;
+  StreamSocket socket_;
   Timer timer_;
   http::Parser parser_{http::Parser::Kind::kRequest};
-  std::array<char, 512> sink_{};
-  feed::Asked asked_;
-  Micros until_ = 0;
-  bool keep_ = true;
+  std::array<char, kDiscardBufferSize> discard_buffer_{};
+  config_feed::FeedRequest request_;
+  Micros wait_until_ = 0;
+  bool keep_alive_ = true;
   bool waiting_ = false;
   bool writing_ = false;
 };
 
-FeedServer::FeedServer(EventLoop& loop, Log& log, feed::ControlMachine& machine)
-    : loop_(loop), log_(log), machine_(machine), pause_(loop) {}
+FeedServer::FeedServer(EventLoop& loop, Log& log, config_feed::ConfigServer& config_server)
+    : loop_(loop), log_(log), config_server_(config_server), retry_accept_(loop) {}
 
 FeedServer::~FeedServer() {
-  if (listener_) loop_.Unwatch(token_, listener_.get());
+  if (listener_) loop_.Unwatch(watch_, listener_.get());
 }
 
 void FeedServer::Listen(const Endpoint& where) {
   BoundSocket bound = BindTcpListener(where, SOMAXCONN, "control bind");
   listener_ = std::move(bound.fd);
   port_ = bound.port;
-  token_ = loop_.Watch(listener_.get(), this);
-  if (token_ == 0) throw std::system_error(errno, std::generic_category(), "control bind: epoll_ctl");
+  watch_ = loop_.Watch(listener_.get(), this);
+  if (watch_ == 0) throw std::system_error(errno, std::generic_category(), "control bind: epoll_ctl");
 }
 
-void FeedServer::Changed(const std::set<std::string, std::less<>>& services) {
+void FeedServer::NotifyChanged(const config_feed::ServiceSet& services) {
   if (services.empty()) return;
-  std::vector<std::uint64_t> all(waiting_.begin(), waiting_.end());
-  for (std::uint64_t id : all) {
-    if (auto it = conns_.find(id); it != conns_.end()) it->second->Wake(services);
+  const std::vector<ConnectionId> waiting(waiting_.begin(), waiting_.end());
+  for (ConnectionId id : waiting) {
+    auto connection = connections_.find(id);
+    if (connection != connections_.end()) connection->second->NotifyChanged(services);
   }
 }
 
-void FeedServer::OnReady(std::uint32_t) { Accept(); }
-
-void FeedServer::Accept() {
-  for (int i = 0;; ++i) {
-    if (i == kAcceptsAtOnce) return loop_.NotifyAgain(token_, EPOLLIN);
-    FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (!fd) {
-      if (errno == EINTR || errno == ECONNABORTED) continue;
-      if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-      log_.Info("control: accept failed: %s", std::strerror(errno));
-      pause_.Set(kRetryAccept, [this] { Accept(); });
+void FeedServer::OnReady(std::uint32_t) { AcceptConnections(); }
+
+void FeedServer::AcceptConnections() {
+  for (int accepts = 0;; ++accepts) {
+    if (accepts == kMaxAcceptsPerRound) {
+      loop_.NotifyAgain(watch_, EPOLLIN);
       return;
     }
-    if (conns_.size() >= kMostConnections) {
-      log_.Info("control: %zu followers are connected, a new one is turned away", conns_.size());
+    FileDescriptor accepted(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (accepted) {
+      Add(std::move(accepted));
       continue;
     }
-    auto conn = std::make_unique<Conn>(*this, ++ids_);
-    Conn& begun = *conn;
-    std::uint64_t id = ids_;
-    conns_[id] = std::move(conn);
-    if (!begun.socket.Adopt(std::move(fd))) Drop(id);
+    if (errno == EINTR || errno == ECONNABORTED) continue;
+    if (errno == EAGAIN || errno == EWOULDBLOCK) return;
+    log_.Info("control: accept failed: %s", std::strerror(errno));
+    retry_accept_.Set(kRetryAcceptAfter, [this] { AcceptConnections(); });
+    return;
+  }
+}
+
+void FeedServer::Add(FileDescriptor accepted) {
+  if (connections_.size() >= kMaxConnections) {
+    log_.Info("control: %zu followers are connected, a new one is rejected", connections_.size());
+    return;
   }
+  const ConnectionId id = ++last_id_;
+  auto connection = std::make_unique<Connection>(*this, id);
+  Connection& added = *connection;
+  connections_[id] = std::move(connection);
+  if (!added.Adopt(std::move(accepted))) Drop(id);
 }
 
-void FeedServer::Drop(std::uint64_t id) {
-  auto it = conns_.find(id);
-  if (it == conns_.end()) return;
-  std::unique_ptr<Conn> owned = std::move(it->second);
-  conns_.erase(it);
+void FeedServer::Drop(ConnectionId id) {
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  std::unique_ptr<Connection> owned = std::move(it->second);
+  connections_.erase(it);
   waiting_.erase(id);
-  owned->socket.Close();
+  owned->Close();
   loop_.DeferDelete(std::move(owned));
 }
 
--- a/src/control_server/feed_server.hpp
+++ b/src/control_server/feed_server.hpp
@@ -1,16 +1,17 @@
-// Tells the settings feed to whoever asks: the thin driver of feed::ControlMachine, over HTTP/1.1. A question
-// that finds nothing new is kept until something in its scope is, or its wait is over.
+// Answers followers of the configuration feed over HTTP/1.1: drives a ConfigServer. A request that finds
+// nothing new is kept until something in its scope changes, or its wait is over.
+//
+// Bounded: kMaxConnections connections, kIdleTime for one that sends no request. Lives on the event loop.
 #ifndef DAPPLETILLER_CONTROL_SERVER_FEED_SERVER_HPP_
 #define DAPPLETILLER_CONTROL_SERVER_FEED_SERVER_HPP_
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <set>
-#include <string>
 
-#include "config_feed/control_machine.hpp"
-#include "dispatch/types.hpp"
+#include "config_feed/config_server.hpp"
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
 
@@ -18,37 +19,39 @@
 
 class FeedServer final : private EventHandler {
  public:
-  static constexpr Micros kIdleTime = 60'000'000;  // without a question, or for one to come whole
-  static constexpr std::size_t kMostConnections = 4'096;
+  static constexpr Micros kIdleTime = 60'000'000;  // without a request, or for one to come whole
+  static constexpr std::size_t kMaxConnections = 4'096;
 
-  FeedServer(EventLoop& loop, Log& log, feed::ControlMachine& machine);
+  // All must outlive it.
+  FeedServer(EventLoop& loop, Log& log, config_feed::ConfigServer& config_server);
   ~FeedServer();
+
   void Listen(const Endpoint& where);  // throws std::system_error
   std::uint16_t port() const { return port_; }
-  // Entries of these services have changed: who waits for one of them is told. Costs by who waits.
-  void Changed(const std::set<std::string, std::less<>>& services);
-  std::size_t connections() const { return conns_.size(); }
-  std::uint64_t pages() const { return pages_; }
-  std::uint64_t bytes() const { return bytes_; }
+  // Entries of these services have changed: answers the requests that wait for one of them. Costs by how many
+  // wait.
+  void NotifyChanged(const config_feed::ServiceSet& services);
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  class Conn;
+  class Connection;
+  using ConnectionId = std::uint64_t;
+
   void OnReady(std::uint32_t events) override;
-  void Accept();
-  void Drop(std::uint64_t id);
+  void AcceptConnections();
+  void Add(FileDescriptor accepted);
+  void Drop(ConnectionId id);
 
   EventLoop& loop_;
   Log& log_;
-  feed::ControlMachine& machine_;
+  config_feed::ConfigServer& config_server_;
   FileDescriptor listener_;
-  EventLoop::WatchId token_ = 0;
+  EventLoop::WatchId watch_ = 0;
   std::uint16_t port_ = 0;
-  Timer pause_;  // after accept failed for want of descriptors
-  std::uint64_t ids_ = 0;
-  std::map<std::uint64_t, std::unique_ptr<Conn>> conns_;
-  std::set<std::uint64_t> waiting_;
-  std::uint64_t pages_ = 0;
-  std::uint64_t bytes_ = 0;
+  Timer retry_accept_;
+  ConnectionId last_id_ = 0;
+  std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
+  std::set<ConnectionId> waiting_;  // whose request waits for a change
 };
 
 }  // namespace dappletiller
--- /dev/null
+++ b/src/proxy/console_commands.cpp
@@ -0,0 +1,76 @@
+#include "proxy/console_commands.hpp"
+
+namespace dappletiller {
+namespace {
+
+constexpr const char* kJson = "application/json";
+
+ConsoleReply UnknownServer() { return {404, "no such worker was ever listed"}; }
+
+}  // namespace
+
+ConsoleReply ConsoleCommands::Do(const console::Command& command) {
+  using console::Verb;
+  switch (command.verb) {
+    case Verb::kReady:
+      return shutting_down_ ? ConsoleReply{503, "leaving"} : ConsoleReply{200, "ready"};
+    case Verb::kLameduckOn:
+      return SetLameDuck(true);
+    case Verb::kLameduckOff:
+      return SetLameDuck(false);
+    case Verb::kDetach:
+      return DrainServer(command.who);
+    case Verb::kAttach:
+      return UndrainServer(command.who);
+    case Verb::kFleet:
+    case Verb::kFleetLeave:
+    case Verb::kFleetReap:
+      return DoFleet(command);
+    case Verb::kSettings:
+      return ShowSettings();
+    case Verb::kNone:
+      break;
+  }
+  return {400, "no such console call"};
+}
+
+ConsoleReply ConsoleCommands::SetLameDuck(bool on) {
+  if (on != parts_.listener.lameduck()) {
+    parts_.log.Info("lame duck %s: %zu client connections", on ? "on" : "off", parts_.listener.connections());
+  }
+  parts_.listener.Lameduck(on);
+  return {200, on ? "lame duck" : "serving"};
+}
+
+ConsoleReply ConsoleCommands::DrainServer(const std::string& uid) {
+  if (!parts_.dispatcher.Drain(uid)) return UnknownServer();
+  storage_.Save(parts_.dispatcher.drains());
+  return {200, "detached"};
+}
+
+ConsoleReply ConsoleCommands::UndrainServer(const std::string& uid) {
+  if (!parts_.dispatcher.Undrain(uid)) return UnknownServer();
+  storage_.Save(parts_.dispatcher.drains());
+  return {200, "attached"};
+}
+
+ConsoleReply ConsoleCommands::DoFleet(const console::Command& command) {
+  if (!parts_.membership) return {404, "this process keeps no view of a fleet"};
+  MembershipTransport& membership = *parts_.membership;
+  if (command.verb == console::Verb::kFleetLeave) {
+    membership.Leave();
+    return {200, "left the fleet; the process serves on"};
+  }
+  if (command.verb == console::Verb::kFleetReap) {
+    if (!membership.ForceRemove(command.who)) return {409, "no member of that name is dead here"};
+    return {200, "reaped"};
+  }
+  return {200, membership.StatusJson(command.after), kJson};
+}
+
+ConsoleReply ConsoleCommands::ShowSettings() const {
+  if (!parts_.feed) return {404, "this process takes no settings from a feed"};
+  return {200, parts_.feed->client.StatusJson(), kJson};
+}
+
+}  // namespace dappletiller
--- /dev/null
+++ b/src/proxy/options.cpp
@@ -0,0 +1,53 @@
+#include "proxy/options.hpp"
+
+#include <utility>
+
+#include "admin/console.hpp"
+
+namespace dappletiller {
+namespace {
+
+constexpr std::size_t kOwnDescriptors = 16 + Console::kMaxConnections;
+constexpr std::size_t kReservedDivisor = 8;  // one in so many connections is reserved for clients
+constexpr std::size_t kSlotsDivisor =
+    3;  // one in so many descriptors is the most that clients hold for requests
+// One in so many bytes of the process's memory is the most that long bodies take; a buffer that grows may be
+// up to twice as large as what it holds.
+constexpr std::size_t kLongBodiesDivisor = 8;
+
+}  // namespace
+
+std::size_t ConnectionLimit(const Config& config) { return config.sockets - kOwnDescriptors; }
+std::size_t ReservedForClients(const Config& config) { return config.sockets / kReservedDivisor; }
+std::size_t ClientConnectionSlots(const Config& config) { return config.sockets / kSlotsDivisor; }
+std::size_t LongBodyMemory(const Config& config) { return config.memory / kLongBodiesDivisor; }
+
+AcceptorOptions MakeListenerOptions(const Config& config, std::shared_ptr<BodyMemory> long_bodies) {
+  AcceptorOptions options;
+  options.long_bodies = std::move(long_bodies);
+  options.listen = config.listen;
+  options.places = ClientConnectionSlots(config);
+  options.classes = config.classes;
+  options.tenants = config.tenants;
+  for (const auto& request_class : config.settings.classes) {
+    options.patience.push_back(request_class.deadline);
+    options.effects.push_back(request_class.effect);
+  }
+  return options;
+}
+
+WorkerLimits MakeUpstreamLimits(const Config& config) { return {config.dial_timeout, config.idle_timeout}; }
+
+DiscoveryOptions MakeDiscoveryOptions(const Config& config) {
+  DiscoveryOptions options;
+  options.where = config.discovery;
+  options.host = config.discovery_text;
+  options.names = config.names;
+  options.version = config.known.version;
+  options.ask_within = config.settings.ask_within;
+  options.pushed = !config.settings.list_on_request;
+  options.seed = config.settings.seed;
+  return options;
+}
+
+}  // namespace dappletiller
--- /dev/null
+++ b/src/proxy/parts.hpp
@@ -0,0 +1,72 @@
+// All parts of one proxy, wired together. Owns them; they refer to one another, so it is neither copied nor
+// moved.
+#ifndef DAPPLETILLER_PROXY_PARTS_HPP_
+#define DAPPLETILLER_PROXY_PARTS_HPP_
+
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "config/operator_file.hpp"
+#include "config/platform_config.hpp"
+#include "config_feed/client/feed_client.hpp"
+#include "config_feed/follower.hpp"
+#include "discovery/discovery_client.hpp"
+#include "dispatch/request_dispatcher.hpp"
+#include "downstream/listener.hpp"
+#include "http/body_memory.hpp"
+#include "io/descriptor_limit.hpp"
+#include "io/event_loop.hpp"
+#include "io/log.hpp"
+#include "membership/transport/membership_transport.hpp"
+#include "proxy/settings_applier.hpp"
+#include "upstream/upstream_pool.hpp"
+
+namespace dappletiller {
+
+// The configuration feed's parts, in a proxy that follows it.
+struct FeedParts {
+  FeedParts(EventLoop& loop, Log& log, const std::string& name, config_feed::FollowerOptions options,
+            Acceptor& listener, Gateway& dispatcher);
+  // The operator file's scope.
+  static config_feed::Scope MakeScope(const operators::SettingsFeedOptions& options);
+
+  config_feed::Follower follower;
+  SettingsApplier applier;
+  FeedClient client;
+};
+
+struct ProxyParts final : private QuotaShareObserver {
+  // Throws ConfigError, std::invalid_argument, operators::OperatorError or std::system_error.
+  // `operator_path`: empty without an operator file.
+  ProxyParts(Log& log, Config loaded, const std::string& operator_path);
+  ProxyParts(const ProxyParts&) = delete;
+  ProxyParts& operator=(const ProxyParts&) = delete;
+
+  // Begins to serve, with the servers that the configuration lists. Throws std::system_error or ConfigError.
+  void Start();
+
+  Log& log;
+  Config config;
+  std::string operator_path;
+  EventLoop loop;
+  Gateway dispatcher;
+  DescriptorLimit descriptors;
+  std::shared_ptr<BodyMemory> long_bodies;
+  WorkerLinks upstream;
+  Acceptor listener;
+  DiscoveryClient discovery;
+  std::optional<MembershipTransport> membership;
+  std::optional<FeedParts> feed;
+
+ private:
+  void AddFeed(const operators::SettingsFeedOptions& options);
+  void AddMembership(operators::FleetOptions options);
+  void OnQuotaShare(double share, TimePoint valid_until) override {
+    dispatcher.Grant(share, ToMicros(valid_until));
+  }
+};
+
+}  // namespace dappletiller
+
+#endif  // DAPPLETILLER_PROXY_PARTS_HPP_
--- a/src/proxy/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,4 +1,4 @@
-// One proxy, from its start to its end: reads the configuration, wires the parts together, handles signals.
+// One proxy, from its start to its end.
 #ifndef DAPPLETILLER_PROXY_PROXY_HPP_
 #define DAPPLETILLER_PROXY_PROXY_HPP_
 
@@ -6,8 +6,9 @@
 
 namespace dappletiller {
 
-// Serves until SIGTERM; the exit code (0: a clean way out, 1: it could not start, said in one line).
-// `operator_path`: the operators' file; empty: exactly as the platform starts it.
+// Serves until SIGTERM or SIGINT. Returns the exit code: 0 after a graceful shutdown, 1 if it could not
+// start; the log says why in one line. `operator_path`: the operator file; empty: exactly as the platform
+// starts it.
 int Serve(const std::string& operator_path);
 
 }  // namespace dappletiller
--- /dev/null
+++ b/src/proxy/reload.hpp
@@ -0,0 +1,16 @@
+// Takes over a changed configuration and operator file in a running proxy, with all requests and connections
+// kept.
+#ifndef DAPPLETILLER_PROXY_RELOAD_HPP_
+#define DAPPLETILLER_PROXY_RELOAD_HPP_
+
+#include "proxy/parts.hpp"
+
+namespace dappletiller {
+
+// Reads both files anew. What the decision module was made with, and the address that clients know, change
+// only with a restart; the log says so. A file that is at fault changes nothing, and is logged.
+void Reload(ProxyParts* parts);
+
+}  // namespace dappletiller
+
+#endif  // DAPPLETILLER_PROXY_RELOAD_HPP_
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "base/payload.hpp"
-#include "config_feed/in_force.hpp"
+#include "config_feed/effective_entries.hpp"
 #include "config_feed/values.hpp"
 #include "discovery/retry_schedule.hpp"
 
@@ -55,7 +55,7 @@
   }
 }
 
-ByFeed::ByFeed(EventLoop& loop, Log& log, std::string path, feed::FollowerOptions options,
+ByFeed::ByFeed(EventLoop& loop, Log& log, std::string path, config_feed::FollowerOptions options,
                std::function<void(std::uint64_t)> taken)
     : start_(std::move(path)),
       follower_(options),
@@ -66,19 +66,23 @@
   gateway_ = gateway;
   if (gateway_ != nullptr) return feed_.Start();
   // The proxy has ended: nothing is asked any more.
-  follower_.SetMachines(0, {}, {});
-  feed_.Renew();
+  follower_.SetServers(0, {}, {});
+  feed_.RestartRequest();
 }
 
-void ByFeed::SettingsChanged(const std::vector<feed::Change>& changes) {
+void ByFeed::OnSettingsChanged(const std::vector<config_feed::Change>& changes) {
   if (gateway_ == nullptr) return;
-  for (const feed::Effect& effect : feed::InForce(follower_.held(), follower_.scope(), changes)) {
-    std::string why;
-    auto tenant = feed::ReadTenant(effect.value.value_or(""), &why);
-    if (effect.value && !tenant) ++refused_;
-    int place = places_.try_emplace(effect.name, static_cast<int>(places_.size())).first->second;
+  for (const config_feed::EffectiveEntry& entry :
+       config_feed::ResolveEntries(follower_.store(), follower_.scope(), changes)) {
+    std::optional<config_feed::TenantValue> tenant;
+    if (entry.value) {
+      const auto parsed = config_feed::ParseTenant(*entry.value);
+      if (parsed) tenant = *parsed;
+      if (!parsed) ++refused_;
+    }
+    int place = places_.try_emplace(entry.name, static_cast<int>(places_.size())).first->second;
     sandstand::TenantSettings share;
-    if (tenant) share = {tenant->portion, tenant->quota_per_s};
+    if (tenant) share = {tenant->share, tenant->quota_per_second};
     gateway_->SetTenant(place, tenant.has_value(), share);
   }
   if (version() != told_) taken_(told_ = version());
--- a/src/rig/hollow.hpp
+++ b/src/rig/hollow.hpp
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "config/platform_config.hpp"
-#include "config_feed/client/settings_feed.hpp"
+#include "config_feed/client/feed_client.hpp"
 #include "discovery/discovery_client.hpp"
 #include "dispatch/request_dispatcher.hpp"
 #include "io/event_loop.hpp"
@@ -67,26 +67,24 @@
 
 // Deltas by version, from control machines (docs/feed.md): the program's own follower and driver, with the
 // tenants of one service. What the proxy starts with is a file that names no tenants.
-class ByFeed final : public SettingsWay, private SettingsSink {
+class ByFeed final : public SettingsWay, private SettingsObserver {
  public:
   // `taken`: a version is in force. EventLoop and log outlive it.
-  ByFeed(EventLoop& loop, Log& log, std::string path, feed::FollowerOptions options,
+  ByFeed(EventLoop& loop, Log& log, std::string path, config_feed::FollowerOptions options,
          std::function<void(std::uint64_t version)> taken);
   Config First() override { return start_.First(); }
   void Signal() override {}
   void Serve(Gateway* gateway) override;
-  std::uint64_t version() const override { return follower_.held().head().serial; }
-  std::uint64_t bytes() const override {
-    return start_.bytes() + feed_.tally().bytes_in + feed_.tally().bytes_out;
-  }
+  std::uint64_t version() const override { return follower_.store().head().serial; }
+  std::uint64_t bytes() const override { return start_.bytes() + feed_.bytes_in() + feed_.bytes_out(); }
   std::uint64_t refused() const override { return refused_; }
 
  private:
-  void SettingsChanged(const std::vector<feed::Change>& changes) override;
+  void OnSettingsChanged(const std::vector<config_feed::Change>& changes) override;
 
   FileAndSignal start_;
-  feed::Follower follower_;
-  SettingsFeed feed_;
+  config_feed::Follower follower_;
+  FeedClient feed_;
   std::function<void(std::uint64_t)> taken_;
   Gateway* gateway_ = nullptr;
   std::unordered_map<std::string, int> places_;  // of tenants
@@ -167,7 +165,7 @@
   HollowOptions options_;
   Config config_;
   Gateway gateway_;
-  Discovery discovery_;
+  DiscoveryClient discovery_;
   std::optional<MembershipTransport> peers_;
   pcg32 random_;
   Timer next_;
--- a/src/rig/scale_roles.cpp
+++ b/src/rig/scale_roles.cpp
@@ -430,9 +430,9 @@
   std::unique_ptr<SettingsWay> Way(const HollowOptions& options) {
     std::string path = options_.folder / "settings.json";
     if (!script_.feed) return std::make_unique<FileAndSignal>(path);
-    feed::FollowerOptions following;
+    config_feed::FollowerOptions following;
     following.self = options.name;
-    following.near = Lines(options_.folder / "controls");
+    following.nearby = Lines(options_.folder / "controls");
     following.seed = options.seed;
     following.scope.services = {script_.ServiceOf(std::atoi(options.name.c_str() + 1))};
     return std::make_unique<ByFeed>(loop_, log_, path, std::move(following), [this](std::uint64_t version) {
--- a/tests/admin/console_test.cpp
+++ b/tests/admin/console_test.cpp
@@ -155,7 +155,7 @@
   Console console(rig.loop, rig.log, handler);
   console.Listen({kLoopback, 0});
   std::vector<Peer> silent;
-  for (std::size_t i = 0; i < Console::kMostCallers + 4; ++i) silent.push_back(Peer::Dial(console.port()));
+  for (std::size_t i = 0; i < Console::kMaxConnections + 4; ++i) silent.push_back(Peer::Dial(console.port()));
   Peer half = Peer::Dial(console.port());
   half.Say("PUT /_lameduck/on HTTP/1.1\r\nHo");
   Peer ready = Peer::Dial(console.port());
@@ -170,7 +170,7 @@
   rig.Hears(bad, "HTTP/1.1 400");
   rig.Until("the half-sent call is given up", [&] { return half.Ended(); });
   CHECK(handler.seen == std::vector<Verb>{Verb::kReady, Verb::kDetach});
-  CHECK(console.connections() <= Console::kMostCallers);
+  CHECK(console.connections() <= Console::kMaxConnections);
 }
 
 TEST_CASE("a lame duck says no on /up, closes idle connections, serves open ones, and comes back") {
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -60,15 +60,15 @@
       "[control]\nname = \"c1\"\nbind = \"127.0.0.1:9\"\nothers = \"127.0.0.1:3\"\norigin = \"o.jsonl\"\n"
       "places = 3\n");
   REQUIRE(file.settings_feed.has_value());
-  CHECK(file.settings_feed->near.size() == 2);
+  CHECK(file.settings_feed->nearby.size() == 2);
   CHECK(file.settings_feed->others.size() == 1);
   CHECK(file.settings_feed->services == std::vector<std::string>{"plan-7"});
-  CHECK(file.settings_feed->whole_rate == 5'000);
+  CHECK(file.settings_feed->snapshot_rate == 5'000);
   REQUIRE(file.control.has_value());
   CHECK(file.control->name == "c1");
   CHECK(file.control->bind.port == 9);
   CHECK(file.control->origin == "o.jsonl");
-  CHECK(file.control->places == 3);
+  CHECK(file.control->snapshot_slots == 3);
 }
 
 TEST_CASE("each mistake names file, line, key and remedy") {
--- a/tests/config_feed/change_cost.cpp
+++ b/tests/config_feed/change_cost.cpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "config/platform_config.hpp"
+#include "config_feed/effective_entries.hpp"
 #include "config_feed/follower.hpp"
-#include "config_feed/in_force.hpp"
-#include "config_feed/origin.hpp"
-#include "config_feed/page_json.hpp"
+#include "config_feed/origin_file.hpp"
+#include "config_feed/page_codec.hpp"
 #include "config_feed/values.hpp"
 #include "sandstand/balancer.hpp"
 
@@ -128,15 +128,15 @@
 
 constexpr int kServices = 510;
 
-feed::Change TenantEntry(int i, double quota, int services) {
+config_feed::Change TenantEntry(int i, double quota, int services) {
   char key[80], value[80];
   std::snprintf(key, sizeof key, "tenant/plan-%d/tenant-branch-%06d", i % services, i);
   std::snprintf(value, sizeof value, R"({"portion":0.0000055,"quotaRps":%.1f})", quota);
   return {key, value, 0};
 }
 
-void Fill(feed::Store* store, int tenants, int services) {
-  std::vector<feed::Change> all;
+void Fill(config_feed::Store* store, int tenants, int services) {
+  std::vector<config_feed::Change> all;
   for (int i = 0; i < tenants; ++i) all.push_back(TenantEntry(i, 1 + i % 7 + 0.5, services));
   store->Publish(1, 7, all);
 }
@@ -145,14 +145,14 @@
 // answer with their heads. `range(1)`: services over which the tenants lie.
 void FeedChangeInProxy(benchmark::State& state) {
   int tenants = static_cast<int>(state.range(0)), services = static_cast<int>(state.range(1));
-  feed::Store origin;
+  config_feed::Store origin;
   Fill(&origin, tenants, services);
   double before = HeapMegabytes();
-  feed::FollowerOptions options;
+  config_feed::FollowerOptions options;
   options.self = "p";
-  options.near = {"m"};
+  options.nearby = {"m"};
   options.scope.services = {"plan-0"};
-  feed::Follower follower(options);
+  config_feed::Follower follower(options);
   sandstand::Settings settings;
   settings.gateways = 1'900;
   sandstand::ClassSettings safe;
@@ -161,13 +161,13 @@
   sandstand::Balancer module(settings);
   std::unordered_map<std::string, int> places;
   std::vector<sandstand::Action> actions;
-  feed::Micros now = 0;
+  config_feed::Micros now = 0;
   auto take = [&](const std::string& text) {
-    auto page = feed::ReadPage(text);
-    for (const feed::Effect& effect :
-         feed::InForce(follower.held(), follower.scope(), follower.Answered(now, *page, 0))) {
+    auto page = config_feed::ParsePage(text);
+    for (const config_feed::EffectiveEntry& effect :
+         config_feed::ResolveEntries(follower.held(), follower.scope(), follower.Answered(now, *page, 0))) {
       std::string why;
-      auto tenant = feed::ReadTenant(effect.value.value_or(""), &why);
+      auto tenant = config_feed::ParseTenant(effect.value.value_or(""), &why);
       int place = places.try_emplace(effect.name, static_cast<int>(places.size())).first->second;
       module.Handle(now, sandstand::TenantChanged{place, true, {tenant->portion, tenant->quota_per_s}},
                     &actions);
@@ -176,7 +176,7 @@
   std::uint64_t whole_bytes = 0, bytes = 0, changes = 0;
   while (follower.held().head().version < origin.head().version) {
     auto ask = follower.Next(now += 1'000);
-    std::string text = feed::WritePage(origin.Tell(ask->question, feed::kPageBytes));
+    std::string text = config_feed::WritePage(origin.MakePage(ask->question, config_feed::kMaxPageSize));
     whole_bytes += text.size();
     take(text);
   }
@@ -188,8 +188,8 @@
     ++serial;
     origin.Publish(serial, 7, {TenantEntry(0, static_cast<double>(serial % 1'000), services)});
     auto ask = follower.Next(now += 1'000'000);
-    std::string text = feed::WritePage(origin.Tell(ask->question, feed::kPageBytes));
-    bytes += text.size() + feed::WriteQuestion({"p", ask->question, 2'000}).size() + 130;
+    std::string text = config_feed::WritePage(origin.MakePage(ask->question, config_feed::kMaxPageSize));
+    bytes += text.size() + config_feed::WriteRequest({"p", ask->question, 2'000}).size() + 130;
     ++changes;
     state.ResumeTiming();
     take(text);
@@ -206,16 +206,16 @@
 // One changed tenant at a control machine: publishing it and telling one proxy.
 void FeedChangeAtMachine(benchmark::State& state) {
   double before = HeapMegabytes();
-  feed::Store store;
+  config_feed::Store store;
   Fill(&store, static_cast<int>(state.range(0)), kServices);
   double after = HeapMegabytes();
   std::uint64_t serial = 1;
   for (auto round : state) {
     (void)round;
-    feed::Question question{store.head(), std::nullopt, {false, {"plan-0"}}};
+    config_feed::PageRequest question{store.head(), std::nullopt, {false, {"plan-0"}}};
     ++serial;
     store.Publish(serial, 7, {TenantEntry(0, static_cast<double>(serial % 1'000), kServices)});
-    benchmark::DoNotOptimize(feed::WritePage(store.Tell(question, feed::kPageBytes)));
+    benchmark::DoNotOptimize(config_feed::WritePage(store.MakePage(question, config_feed::kMaxPageSize)));
   }
   state.counters["heap_mb"] = after - before;
 }
@@ -242,7 +242,7 @@
     }
     return all;
   };
-  feed::Origin origin("bench");
+  config_feed::OriginFile origin("bench");
   int serial = 1;
   origin.Read(text(serial));
   for (auto round : state) {
--- a/tests/config_feed/process_test.cpp
+++ b/tests/config_feed/process_test.cpp
@@ -19,9 +19,9 @@
 #include <thread>
 #include <vector>
 
-#include "config_feed/client/settings_feed.hpp"
-#include "config_feed/control_machine.hpp"
-#include "config_feed/page_json.hpp"
+#include "config_feed/client/feed_client.hpp"
+#include "config_feed/config_server.hpp"
+#include "config_feed/page_codec.hpp"
 #include "control_server/feed_server.hpp"
 
 namespace dappletiller {
@@ -133,7 +133,7 @@
 
 std::string At(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-std::string Origin(int serial, const std::string& quota, const std::string& more = "") {
+std::string OriginFile(int serial, const std::string& quota, const std::string& more = "") {
   return "{\"serial\": " + std::to_string(serial) + "}\n" +
          R"({"kind":"tenant","service":"plan-7","name":"acme","value":{"portion":0.5,"quotaRps":)" + quota +
          "}}\n" +
@@ -148,7 +148,7 @@
 struct Fleet {
   explicit Fleet(int proxies) {
     for (int& port : ports) port = FreePort();
-    folder.Write("origin.jsonl", Origin(1, "1"));
+    folder.Write("origin.jsonl", OriginFile(1, "1"));
     for (int m = 0; m < 3; ++m) StartMachine(m, m == 0 ? "origin.jsonl" : "");
     for (int p = 0; p < proxies; ++p) StartProxy(p, "[\"plan-7\"]");
   }
@@ -213,13 +213,13 @@
       "GET / HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\nRequest-Class: fresh\r\nRequest-Timeout: 100m\r\n"
       "Connection: close\r\n\r\n";
   CHECK(Get(port, request).find("400") != std::string::npos);  // no such class yet
-  fleet.folder.Write("origin.jsonl", Origin(2, "2", kFresh));
+  fleet.folder.Write("origin.jsonl", OriginFile(2, "2", kFresh));
   REQUIRE(fleet.AllHold(2));
   CHECK(Get(port, request).find(" 503 ") != std::string::npos);  // known; there is no worker
   CHECK(fleet.proxies[0]->Says("settings feed: serial 2 in force"));
   CHECK(fleet.proxies[0]->Says("class fresh is new"));
   // Nothing outside its scope reaches a proxy, and its serial still goes on.
-  fleet.folder.Write("origin.jsonl", "{\"serial\": 3}\n" + Origin(0, "2", kFresh).substr(14) +
+  fleet.folder.Write("origin.jsonl", "{\"serial\": 3}\n" + OriginFile(0, "2", kFresh).substr(14) +
                                          R"({"kind":"route","service":"plan-8","name":"/x","value":{}})"
                                          "\n");
   REQUIRE(fleet.AllHold(3));
@@ -229,17 +229,17 @@
 TEST_CASE("a bad origin file is told by file, line and remedy, and what was in force stays") {
   Fleet fleet(1);
   REQUIRE(fleet.AllHold(1));
-  fleet.folder.Write("origin.jsonl", Origin(2, "-5"));
+  fleet.folder.Write("origin.jsonl", OriginFile(2, "-5"));
   CHECK(fleet.machines[0]->Says(
       "origin.jsonl:2: tenant/plan-7/acme: value.quotaRps is missing or out of range"));
-  fleet.folder.Write("origin.jsonl", Origin(1, "7"));
+  fleet.folder.Write("origin.jsonl", OriginFile(1, "7"));
   CHECK(fleet.machines[0]->Says("serial: 1 is not above 1"));
-  fleet.folder.Write("origin.jsonl", Origin(3, "7").substr(0, 60));
+  fleet.folder.Write("origin.jsonl", OriginFile(3, "7").substr(0, 60));
   CHECK(fleet.machines[0]->Says("does not end in a newline"));
   fs::remove(fleet.folder.path / "origin.jsonl");
   CHECK(fleet.machines[0]->Says("cannot be read"));
   CHECK(fleet.Status(0).find("\"serial\":1,") != std::string::npos);
-  fleet.folder.Write("origin.jsonl", Origin(4, "7"));
+  fleet.folder.Write("origin.jsonl", OriginFile(4, "7"));
   CHECK(fleet.AllHold(4));
 }
 
@@ -247,10 +247,10 @@
   Fleet fleet(3);
   REQUIRE(fleet.AllHold(1));
   fleet.machines[1]->End(SIGKILL);
-  fleet.folder.Write("origin.jsonl", Origin(2, "2"));
+  fleet.folder.Write("origin.jsonl", OriginFile(2, "2"));
   REQUIRE(fleet.AllHold(2));
   fleet.machines[2]->Signal(SIGSTOP);  // takes connections and says nothing
-  fleet.folder.Write("origin.jsonl", Origin(3, "3"));
+  fleet.folder.Write("origin.jsonl", OriginFile(3, "3"));
   REQUIRE(fleet.AllHold(3));
   fleet.machines[0]->End(SIGKILL);
   for (int p = 0; p < 3; ++p) {
@@ -269,7 +269,7 @@
   fleet.StartMachine(1, "");
   for (int p = 0; p < 3; ++p) CHECK(fleet.Holds(p, "\"current\":true"));
   CHECK(fleet.AllHold(3));
-  fleet.folder.Write("origin.jsonl", Origin(4, "4"));
+  fleet.folder.Write("origin.jsonl", OriginFile(4, "4"));
   CHECK(fleet.AllHold(4));
   for (auto& proxy : fleet.proxies) {
     std::string log = proxy->Log();
@@ -283,19 +283,19 @@
 TEST_CASE("a stale origin that comes back follows, and says which file is old") {
   Fleet fleet(1);
   REQUIRE(fleet.AllHold(1));
-  fleet.folder.Write("origin.jsonl", Origin(5, "5"));
+  fleet.folder.Write("origin.jsonl", OriginFile(5, "5"));
   REQUIRE(fleet.AllHold(5));
   // A serial that only the lost origin and the proxies knew is another case (world_test: an old origin
   // alone).
   for (int m : {1, 2}) REQUIRE(fleet.machines[m]->Says("serial 5 in force"));
   fleet.machines[0]->End(SIGKILL);
-  fleet.folder.Write("old.jsonl", Origin(2, "2"));
+  fleet.folder.Write("old.jsonl", OriginFile(2, "2"));
   fleet.StartMachine(0, "old.jsonl");
   CHECK(fleet.machines[0]->Says("serial 2 is below the fleet's, 5: this machine follows"));
   CHECK(fleet.machines[0]->Says("serial 5 in force"));
   // Another machine takes the origin over, by deltas.
   fleet.machines[1]->End(SIGTERM);
-  fleet.folder.Write("new.jsonl", Origin(6, "6"));
+  fleet.folder.Write("new.jsonl", OriginFile(6, "6"));
   fleet.StartMachine(1, "new.jsonl");
   CHECK(fleet.AllHold(6));
   CHECK(fleet.proxies[0]->Says("serial 6 in force from"));
@@ -306,7 +306,7 @@
   Fleet fleet(1);
   REQUIRE(fleet.AllHold(1));
   fleet.ProxyFile(0, "[\"plan-7\", \"plan-8\"]");
-  fleet.folder.Write("origin.jsonl", Origin(2, "2"));
+  fleet.folder.Write("origin.jsonl", OriginFile(2, "2"));
   fleet.proxies[0]->Signal(SIGHUP);
   CHECK(fleet.Holds(0, "\"entries\":2,"));
   CHECK(fleet.AllHold(2));
@@ -317,17 +317,17 @@
   fleet.folder.Write("p0.toml", "[settings_feed]\nmachines = [\"nowhere\"]\n");
   fleet.proxies[0]->Signal(SIGHUP);
   CHECK(fleet.proxies[0]->Says("settings_feed.machines: 'nowhere' is not an address"));
-  fleet.folder.Write("origin.jsonl", Origin(3, "3"));
+  fleet.folder.Write("origin.jsonl", OriginFile(3, "3"));
   CHECK(fleet.AllHold(3));
 }
 
 // ---- The driver against a machine that a test plays by hand ----
 
-struct Sink final : SettingsSink {
-  void SettingsChanged(const std::vector<feed::Change>& changes) override {
-    for (const feed::Change& change : changes) seen.push_back(change);
+struct Sink final : SettingsObserver {
+  void OnSettingsChanged(const std::vector<config_feed::Change>& changes) override {
+    for (const config_feed::Change& change : changes) seen.push_back(change);
   }
-  std::vector<feed::Change> seen;
+  std::vector<config_feed::Change> seen;
 };
 
 class Played {
@@ -373,59 +373,61 @@
   Log log(stderr, "test");
   Sink sink;
   Played machine;
-  feed::FollowerOptions options;
+  config_feed::FollowerOptions options;
   options.self = "p";
-  options.near = {At(machine.port)};
+  options.nearby = {At(machine.port)};
   options.scope.services = {"a"};
-  feed::Follower follower(options);
-  SettingsFeed feed(loop, log, follower, "p", sink);
+  config_feed::Follower follower(options);
+  FeedClient feed(loop, log, follower, "p", sink);
   feed.Start();
-  feed::Store store;
+  config_feed::Store store;
   store.Publish(1, 7, {{"tenant/a/t", "x", 0}, {"tenant/a/u", "y", 0}});
-  std::string good = Http(feed::WritePage(store.Tell({{}, std::nullopt, {true, {}}}, 1 << 20)));
-  feed::Page foreign = store.Tell({{}, std::nullopt, {true, {}}}, 1 << 20);
+  std::string good = Http(config_feed::WritePage(store.MakePage({{}, std::nullopt, {true, {}}}, 1 << 20)));
+  config_feed::Page foreign = store.MakePage({{}, std::nullopt, {true, {}}}, 1 << 20);
   foreign.after = 5;
   std::uint64_t failures = 0;
-  for (const std::string& bad : {good.substr(0, good.size() - 10), good.substr(0, 20),
-                                 std::string("HTTP/1.1 200 OK\r\n\r\n") + good.substr(30),
-                                 std::string("nonsense\r\n\r\n"), Http("{}"), Http(feed::WritePage(foreign)),
-                                 std::string("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), std::string()}) {
+  for (const std::string& bad :
+       {good.substr(0, good.size() - 10), good.substr(0, 20),
+        std::string("HTTP/1.1 200 OK\r\n\r\n") + good.substr(30), std::string("nonsense\r\n\r\n"), Http("{}"),
+        Http(config_feed::WritePage(foreign)), std::string("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
+        std::string()}) {
     CAPTURE(bad);
     REQUIRE(machine.Answer(loop, bad, true));
     ++failures;
-    CHECK(Until([&] { return loop.RunOnce(1'000), feed.tally().failures >= failures; }));
+    CHECK(Until([&] { return loop.RunOnce(1'000), feed.counters().failures >= failures; }));
     CHECK(sink.seen.empty());
-    CHECK(follower.held().size() == 0);
+    CHECK(follower.store().size() == 0);
   }
   REQUIRE(machine.Answer(loop, good, false));
   CHECK(Until([&] { return loop.RunOnce(1'000), sink.seen.size() == 2; }));
-  CHECK(follower.held().head().serial == 1);
+  CHECK(follower.store().head().serial == 1);
   // Busy: it comes back there when it was told, and holds what it has.
   REQUIRE(machine.Answer(loop, "HTTP/1.1 503 X\r\nRetry-After: 0.060\r\nContent-Length: 0\r\n\r\n", false));
-  CHECK(Until([&] { return loop.RunOnce(1'000), feed.tally().busy == 1; }));
+  CHECK(Until([&] { return loop.RunOnce(1'000), feed.counters().busy == 1; }));
   store.Publish(2, 7, {{"tenant/a/t", std::nullopt, 0}});
-  REQUIRE(machine.Answer(
-      loop, Http(feed::WritePage(store.Tell({follower.held().head(), std::nullopt, {true, {}}}, 1 << 20))),
-      false));
+  REQUIRE(machine.Answer(loop,
+                         Http(config_feed::WritePage(
+                             store.MakePage({follower.store().head(), std::nullopt, {true, {}}}, 1 << 20))),
+                         false));
   CHECK(machine.question.find("serial=1&epoch=7&after=2") != std::string::npos);
   CHECK(Until([&] { return loop.RunOnce(1'000), sink.seen.size() == 3; }));
-  CHECK(follower.held().size() == 1);
+  CHECK(follower.store().size() == 1);
 }
 
 TEST_CASE("the server turns away what is no question, and wakes only those whom a change concerns") {
   EventLoop loop;
   Log log(stderr, "test");
-  feed::FollowerOptions options;
+  config_feed::FollowerOptions options;
   options.self = "c";
-  feed::ControlMachine machine(options, 1);
+  config_feed::ConfigServer machine(options, 1);
   FeedServer server(loop, log, machine);
   server.Listen({INADDR_LOOPBACK, 0});
   std::set<std::string, std::less<>> touched;
   std::uint64_t serial = 0;
-  auto publish = [&](std::vector<feed::Change> changes) {
+  auto publish = [&](std::vector<config_feed::Change> changes) {
     machine.Publish(
-        loop.Now(), ++serial, [&](bool) { return changes; }, 7, &touched);
-    server.Changed(touched);
+        loop.Now(), ++serial, [&](config_feed::Baseline) { return changes; }, 7, &touched);
+    server.NotifyChanged(touched);
   };
   publish({{"tenant/a/t", "1", 0}, {"tenant/b/t", "1", 0}});
   struct Client {
@@ -482,7 +484,7 @@
   CHECK(hears(a, "tenant/a/t"));
   // A whole for one that has a place, none for the next; a delta is told all the while.
   Client whole(server.port()), next(server.port());
-  std::vector<feed::Change> many;
+  std::vector<config_feed::Change> many;
   for (int i = 0; i < 2'000; ++i) many.push_back({"tenant/a/m" + std::to_string(i), "x", 0});
   publish(many);
   whole.Say("/feed?self=w&serial=0&epoch=0&after=0&services=a");
--- a/tests/config_feed/store_test.cpp
+++ b/tests/config_feed/store_test.cpp
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-#include "config_feed/admission.hpp"
-#include "config_feed/in_force.hpp"
-#include "config_feed/origin.hpp"
-#include "config_feed/page_json.hpp"
+#include "config_feed/effective_entries.hpp"
+#include "config_feed/origin_file.hpp"
+#include "config_feed/page_codec.hpp"
+#include "config_feed/snapshot_admission.hpp"
 
-namespace dappletiller::feed {
+namespace dappletiller::config_feed {
 namespace {
 
 std::vector<Change> Tenants(int first, int last, const std::string& service, const std::string& value) {
@@ -22,17 +22,17 @@
   return changes;
 }
 
-Question After(const Store& held, Scope scope = {true, {}}) {
+PageRequest After(const Store& held, Scope scope = {true, {}}) {
   return {held.head(), std::nullopt, std::move(scope)};
 }
 
 // Walks on until all is told; the number of pages.
 int Catch(const Store& from, Store* to, std::size_t page_bytes, const Scope& scope = {true, {}}) {
   for (int pages = 1; pages < 10'000; ++pages) {
-    Page page = from.Tell(After(*to, scope), page_bytes);
-    REQUIRE_FALSE(page.whole);
+    Page page = from.MakePage(After(*to, scope), page_bytes);
+    REQUIRE_FALSE(page.is_snapshot);
     to->Apply(page);
-    if (page.last()) return pages;
+    if (page.is_last()) return pages;
   }
   return -1;
 }
@@ -49,10 +49,10 @@
 TEST_CASE("keys are three words; the name may hold a slash") {
   for (const char* bad : {"", "a", "a/b", "a//c", "/b/c", "a/b/", "a/b/c d", "a/b/\n"}) {
     CAPTURE(bad);
-    CHECK_FALSE(ReadKey(bad));
+    CHECK_FALSE(ParseKey(bad));
   }
-  CHECK_FALSE(ReadKey("a/b/" + std::string(kLongestWord + 1, 'c')));
-  auto key = ReadKey("route/plan-7//api/v1");
+  CHECK_FALSE(ParseKey("a/b/" + std::string(kMaxKeyPartSize + 1, 'c')));
+  auto key = ParseKey("route/plan-7//api/v1");
   REQUIRE(key);
   CHECK(key->service == "plan-7");
   CHECK(key->name == "/api/v1");
@@ -62,8 +62,8 @@
   Store store;
   store.Publish(1, 7, Tenants(0, 1000, "a", "x"));
   Store follower;
-  Page whole = store.Tell(After(follower), 1 << 30);
-  CHECK(whole.whole);
+  Page whole = store.MakePage(After(follower), 1 << 30);
+  CHECK(whole.is_snapshot);
   CHECK(whole.changes.size() == 1000);
   follower.Apply(whole);
   CHECK(follower.head() == store.head());
@@ -71,8 +71,8 @@
   for (int round = 0; round < 5; ++round)
     store.Publish(2 + static_cast<std::uint64_t>(round), 7, Tenants(3, 5, "a", std::to_string(round)));
   store.Publish(7, 7, {{"tenant/a/t9", std::nullopt, 0}, {"tenant/a/none", std::nullopt, 0}});
-  Page page = store.Tell(After(follower), 1 << 30);
-  CHECK_FALSE(page.whole);
+  Page page = store.MakePage(After(follower), 1 << 30);
+  CHECK_FALSE(page.is_snapshot);
   CHECK(page.changes.size() == 3);
   follower.Apply(page);
   CHECK(Same(store, follower));
@@ -87,10 +87,10 @@
 TEST_CASE("the serial counts only once all of it is here") {
   Store store, follower;
   store.Publish(1, 7, Tenants(0, 10, "a", "x"));
-  follower.Apply(store.Tell(After(follower), 1 << 20));
+  follower.Apply(store.MakePage(After(follower), 1 << 20));
   store.Publish(2, 7, Tenants(0, 10, "a", "y"));
-  Page half = store.Tell(After(follower), 100);
-  REQUIRE_FALSE(half.last());
+  Page half = store.MakePage(After(follower), 100);
+  REQUIRE_FALSE(half.is_last());
   follower.Apply(half);
   CHECK(follower.head().serial == 1);
   Catch(store, &follower, 100);
@@ -103,20 +103,20 @@
   store.Publish(2, 7, Tenants(0, 5, "b", "x"));
   store.Publish(3, 7, {{"class/*/check", "1", 0}});
   Scope scope{false, {"b", "c"}};
-  Page page = store.Tell(After(follower, scope), 1 << 20);
+  Page page = store.MakePage(After(follower, scope), 1 << 20);
   CHECK(page.changes.size() == 6);
   follower.Apply(page);
   CHECK(follower.head() == store.head());
   // News outside the scope are no news, and the version goes on with the next answer.
   store.Publish(4, 7, Tenants(0, 1, "a", "y"));
-  CHECK_FALSE(store.HasNews(After(follower, scope)));
-  page = store.Tell(After(follower, scope), 1 << 20);
+  CHECK_FALSE(store.HasChangesFor(After(follower, scope)));
+  page = store.MakePage(After(follower, scope), 1 << 20);
   CHECK(page.changes.empty());
   follower.Apply(page);
   CHECK(follower.head() == store.head());
   // An entry that moves to another service is removed here.
   store.Publish(5, 7, {{"tenant/b/t1", std::nullopt, 0}, {"tenant/a/t1", "x", 0}});
-  CHECK(store.HasNews(After(follower, scope)));
+  CHECK(store.HasChangesFor(After(follower, scope)));
   Catch(store, &follower, 1 << 20, scope);
   CHECK(follower.Find("tenant/b/t1") == nullptr);
 }
@@ -124,47 +124,47 @@
 TEST_CASE("who follows from before what is forgotten, or from another line, is given the whole") {
   Store store(10), follower;
   store.Publish(1, 7, Tenants(0, 100, "a", "x"));
-  follower.Apply(store.Tell(After(follower), 1 << 20));
+  follower.Apply(store.MakePage(After(follower), 1 << 20));
   std::vector<Change> gone;
   for (int i = 0; i < 50; ++i) gone.push_back({"tenant/a/t" + std::to_string(i), std::nullopt, 0});
   store.Publish(2, 7, gone);
   CHECK(store.size() == 50);
-  CHECK(store.Tell(After(follower), 1 << 20).whole);
+  CHECK(store.MakePage(After(follower), 1 << 20).is_snapshot);
 
   Store other;
   other.Publish(3, 99, Tenants(0, 5, "a", "x"));
-  CHECK(other.Tell(After(follower), 1 << 20).whole);
+  CHECK(other.MakePage(After(follower), 1 << 20).is_snapshot);
   // A newer line that goes on from this one tells a delta, unless the follower had gone further.
   Store heir;
-  Page page = store.Tell(After(heir), 1 << 20);
+  Page page = store.MakePage(After(heir), 1 << 20);
   heir.Apply(page);
   Store ahead = heir;
   heir.Publish(3, 100, Tenants(60, 61, "a", "z"));
   Store late;
-  late.Apply(store.Tell(After(late), 1 << 20));
-  page = heir.Tell(After(late), 1 << 20);
-  CHECK_FALSE(page.whole);
+  late.Apply(store.MakePage(After(late), 1 << 20));
+  page = heir.MakePage(After(late), 1 << 20);
+  CHECK_FALSE(page.is_snapshot);
   CHECK(page.changes.size() == 1);
   ahead.Publish(3, 7, Tenants(70, 80, "a", "w"));  // what the old origin said after the heir went its own way
-  CHECK(heir.Tell(After(ahead), 1 << 20).whole);
+  CHECK(heir.MakePage(After(ahead), 1 << 20).is_snapshot);
 }
 
 TEST_CASE("a machine that is behind says so, and never takes a follower back") {
   Store old, now;
   old.Publish(5, 7, Tenants(0, 5, "a", "x"));
-  now.Apply(old.Tell(After(now), 1 << 20));
-  CHECK_FALSE(old.Behind(After(now)));
+  now.Apply(old.MakePage(After(now), 1 << 20));
+  CHECK_FALSE(old.IsBehind(After(now)));
   now.Publish(6, 7, Tenants(0, 5, "a", "y"));
-  CHECK(old.Behind(After(now)));
-  CHECK_FALSE(now.Behind(After(old)));
+  CHECK(old.IsBehind(After(now)));
+  CHECK_FALSE(now.IsBehind(After(old)));
   Store empty;
-  CHECK(empty.Behind(After(old)));
-  CHECK(empty.Behind(After(Store())));
+  CHECK(empty.IsBehind(After(old)));
+  CHECK(empty.IsBehind(After(Store())));
   // The same serial in two lines: the later line counts, on both sides.
   Store other;
   other.Publish(6, 8, Tenants(0, 5, "a", "q"));
-  CHECK(now.Behind(After(other)));
-  CHECK_FALSE(other.Behind(After(now)));
+  CHECK(now.IsBehind(After(other)));
+  CHECK_FALSE(other.IsBehind(After(now)));
 }
 
 // Half of the entries are replaced, removed and renewed while the whole is being told page by page.
@@ -183,11 +183,11 @@
     int pages = 0;
     for (std::uint64_t serial = 3;; ++serial) {
       REQUIRE(++pages < 5'000);
-      Page page = store.Tell({walk.head(), began, {true, {}}}, 600);
-      REQUIRE(page.whole);
+      Page page = store.MakePage({walk.head(), began, {true, {}}}, 600);
+      REQUIRE(page.is_snapshot);
       if (page.after == 0) walk = Store(), began = page.head.version;
       walk.Apply(page);
-      if (page.last()) break;
+      if (page.is_last()) break;
       if (serial > 100) continue;
       std::vector<Change> changes;
       for (int i = 0; i < 8; ++i) {
@@ -206,22 +206,22 @@
 TEST_CASE("a walk doesn't go on at a machine that stands before where it began") {
   Store far, near;
   far.Publish(1, 7, Tenants(0, 100, "a", "x"));
-  near.Apply(far.Tell(After(near), 1 << 20));
+  near.Apply(far.MakePage(After(near), 1 << 20));
   far.Publish(2, 7, Tenants(0, 50, "a", "y"));  // t0 to t49 are now beyond what `near` holds
-  Page page = far.Tell({{}, std::nullopt, {true, {}}}, 500);
-  REQUIRE_FALSE(page.last());
-  CHECK(near.Behind({{0, 7, page.to}, page.head.version, {true, {}}}));
-  CHECK_FALSE(near.Behind({{0, 7, page.to}, 100, {true, {}}}));
+  Page page = far.MakePage({{}, std::nullopt, {true, {}}}, 500);
+  REQUIRE_FALSE(page.is_last());
+  CHECK(near.IsBehind({{0, 7, page.up_to}, page.head.version, {true, {}}}));
+  CHECK_FALSE(near.IsBehind({{0, 7, page.up_to}, 100, {true, {}}}));
 }
 
 TEST_CASE("questions and pages come through their text, and nothing torn does") {
-  Asked asked{"proxy-1", {{12, 1'764'600'000'000'000, 340}, 350, {false, {"plan-1", "plan-7"}}}, 2000};
-  auto read = ReadQuestion(WriteQuestion(asked));
+  FeedRequest asked{"proxy-1", {{12, 1'764'600'000'000'000, 340}, 350, {false, {"plan-1", "plan-7"}}}, 2000};
+  auto read = ParseRequest(WriteRequest(asked));
   REQUIRE(read);
-  CHECK(read->self == "proxy-1");
-  CHECK(read->question.held == asked.question.held);
-  CHECK(read->question.began == asked.question.began);
-  CHECK(read->question.scope == asked.question.scope);
+  CHECK(read->follower == "proxy-1");
+  CHECK(read->page.position == asked.page.position);
+  CHECK(read->page.snapshot_began_at == asked.page.snapshot_began_at);
+  CHECK(read->page.scope == asked.page.scope);
   CHECK(read->wait_ms == 2000);
   for (const char* bad :
        {"/feed", "/feed?", "/feed?self=a&serial=1&epoch=2&after=3",
@@ -232,31 +232,31 @@
         "/feed?self=a&serial=1&epoch=2&after=3&services=a,,b",
         "/feed?self=a&serial=1&epoch=2&after=3&all=1&wait_ms=99999999"}) {
     CAPTURE(bad);
-    CHECK_FALSE(ReadQuestion(bad));
+    CHECK_FALSE(ParseRequest(bad));
   }
-  CHECK(ReadQuestion("/feed?self=a&serial=1&epoch=2&after=3&services="));
+  CHECK(ParseRequest("/feed?self=a&serial=1&epoch=2&after=3&services="));
 
   Page page;
   page.head = {13, 1'764'600'000'000'001, 351};
-  page.to = 351;
+  page.up_to = 351;
   page.after = 340;
   page.ancestors = {{5, 300}};
   page.changes = {{"tenant/plan-7/acme", "{\"a\":\"\\u00e9 \\\"\"}", 341},
                   {"tenant/plan-7/gone", std::nullopt, 351}};
   std::string text = WritePage(page);
-  auto back = ReadPage(text);
+  auto back = ParsePage(text);
   REQUIRE(back);
   CHECK(back->head == page.head);
   CHECK(back->ancestors == page.ancestors);
   CHECK(back->changes == page.changes);
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     CAPTURE(cut);
-    CHECK_FALSE(ReadPage(text.substr(0, cut)));
+    CHECK_FALSE(ParsePage(text.substr(0, cut)));
   }
   for (const char* part : {"\"to\"", "[\"5\"", "/plan-7/acme", "false"}) {
     std::string bad = text;
     bad.replace(bad.find(part), 1, "]");
-    CHECK_FALSE(ReadPage(bad));
+    CHECK_FALSE(ParsePage(bad));
   }
 }
 
@@ -265,12 +265,12 @@
   std::vector<Change> changes;
   for (int i = 0; i < 300; ++i) {
     std::string value = "\"";
-    while (value.size() < kLongestValue - 3) value += "\\\"";  // the most that quoting can add
+    while (value.size() < kMaxValueSize - 3) value += "\\\"";  // the most that quoting can add
     changes.push_back({"route/a/" + std::to_string(i), value + "\"", 0});
   }
   store.Publish(1, 7, changes);
   Store follower;
-  CHECK(WritePage(store.Tell(After(follower), kPageBytes)).size() < 60 * 1024);
+  CHECK(WritePage(store.MakePage(After(follower), kMaxPageSize)).size() < 60 * 1024);
 }
 
 std::string OriginText(int serial, const std::vector<std::string>& lines) {
@@ -284,7 +284,7 @@
 }
 
 TEST_CASE("the origin's file: only what differs, and a bad one changes nothing") {
-  Origin origin("o.jsonl");
+  OriginFile origin("o.jsonl");
   auto first = origin.Read(OriginText(1, {Tenant("x", 1), Tenant("y", 2), "", Tenant("z", 3)}));
   CHECK(first.serial == 1);
   CHECK(first.entries == 3);
@@ -339,9 +339,9 @@
   }
   // Nothing of the bad ones has stayed.
   Store store;
-  store.Publish(2, 7, origin.Against(store));
+  store.Publish(2, 7, origin.DifferencesTo(store));
   CHECK(store.size() == 3);
-  CHECK(origin.Against(store).empty());
+  CHECK(origin.DifferencesTo(store).empty());
   CHECK(origin.Read(OriginText(3, {Tenant("x", 9), Tenant("y", 2), Tenant("w", 4)})).changes.empty());
 }
 
@@ -350,7 +350,7 @@
   store.Publish(1, 7, {{"tenant/*/t", "all", 0}, {"tenant/b/t", "b", 0}, {"tenant/c/t", "c", 0}});
   Scope scope{false, {"b", "c"}};
   auto value = [&](const Scope& of) {
-    auto effects = InForce(store, of, {{"tenant/c/t", "c", 0}, {"tenant/*/t", "all", 0}});
+    auto effects = ResolveEntries(store, of, {{"tenant/c/t", "c", 0}, {"tenant/*/t", "all", 0}});
     REQUIRE(effects.size() == 1);
     return effects[0].value.value_or("none");
   };
@@ -366,23 +366,23 @@
 }
 
 TEST_CASE("so many wholes at once, and a place of one who fell silent comes back") {
-  Admission admission(2);
-  CHECK(admission.Enter("a", 0) == 0);
-  CHECK(admission.Enter("b", 0) == 0);
-  CHECK(admission.Enter("a", 10) == 0);  // its next page
-  Admission::Micros first = admission.Enter("c", 20);
-  CHECK(first >= Admission::kLeastRetry);
-  Admission::Micros later = 0;
-  for (int i = 0; i < 100; ++i) later = admission.Enter("x" + std::to_string(i), 30);
+  SnapshotAdmission admission(2);
+  CHECK(admission.Admit("a", 0) == 0);
+  CHECK(admission.Admit("b", 0) == 0);
+  CHECK(admission.Admit("a", 10) == 0);  // its next page
+  Micros first = admission.Admit("c", 20);
+  CHECK(first >= SnapshotAdmission::kMinRetryAfter);
+  Micros later = 0;
+  for (int i = 0; i < 100; ++i) later = admission.Admit("x" + std::to_string(i), 30);
   CHECK(later > first);
-  CHECK(later <= Admission::kMostRetry);
-  admission.Leave("a", 40);
-  CHECK(admission.Enter("new", 50) > 0);  // a place is free, but others are before it
-  CHECK(admission.Enter("c", 20 + first) == 0);
-  CHECK(admission.Enter("x0", 20 + first) > 0);
-  CHECK(admission.Enter("x0", Admission::kPlaceTime) == 0);  // "b" has not asked for a page since
-  CHECK(admission.most_held() == 2);
+  CHECK(later <= SnapshotAdmission::kMaxRetryAfter);
+  admission.Release("a", 40);
+  CHECK(admission.Admit("new", 50) > 0);  // a place is free, but others are before it
+  CHECK(admission.Admit("c", 20 + first) == 0);
+  CHECK(admission.Admit("x0", 20 + first) > 0);
+  CHECK(admission.Admit("x0", SnapshotAdmission::kSlotTimeout) == 0);  // "b" has not asked for a page since
+  CHECK(admission.max_slots_in_use() == 2);
 }
 
 }  // namespace
-}  // namespace dappletiller::feed
+}  // namespace dappletiller::config_feed
--- a/tests/config_feed/world_test.cpp
+++ b/tests/config_feed/world_test.cpp
@@ -1,4 +1,4 @@
-// The settings feed in simulated time: the same Follower and ControlMachine as in the processes, 8 machines
+// The settings feed in simulated time: the same Follower and ConfigServer as in the processes, 8 machines
 // and up to 1,900 proxies, delays and failures from a seed. Nothing here is timed by a clock.
 #include <doctest/doctest.h>
 
@@ -11,9 +11,9 @@
 #include <tuple>
 #include <vector>
 
-#include "config_feed/control_machine.hpp"
+#include "config_feed/config_server.hpp"
 
-namespace dappletiller::feed {
+namespace dappletiller::config_feed {
 namespace {
 
 constexpr Micros kMs = 1'000;
@@ -23,8 +23,8 @@
 class World {
  public:
   struct Machine {
-    std::unique_ptr<ControlMachine> control;  // none: its process is not there
-    bool silent = false;                      // takes what comes and says nothing
+    std::unique_ptr<ConfigServer> control;  // none: its process is not there
+    bool silent = false;                    // takes what comes and says nothing
     int region = 0;
     int life = 0;  // questions to an earlier process are lost with it
     Micros busy_until = 0;
@@ -32,7 +32,7 @@
     struct Waiting {
       int node;
       std::uint64_t number;
-      Question question;
+      PageRequest question;
       std::string who;
       Micros until;  // the wait at the machine
     };
@@ -82,7 +82,7 @@
     options.seed = seed_ + 31 * static_cast<unsigned>(m);
     for (int other = 0; other < machines(); ++other)
       if (other != m) options.others.push_back("m" + std::to_string(other));
-    machine(m).control = std::make_unique<ControlMachine>(options, places_);
+    machine(m).control = std::make_unique<ConfigServer>(options, places_);
     machine(m).waiting.clear();
     machine(m).busy_until = 0;
     ++machine(m).life;
@@ -101,9 +101,9 @@
   void Part(int a, int b, bool parted) { parted_[{std::min(a, b), std::max(a, b)}] = parted; }
   bool Parted(int a, int b) { return a != b && parted_[{std::min(a, b), std::max(a, b)}]; }
 
-  ControlMachine::Published Publish(int m, std::uint64_t serial, const std::vector<Change>& whole) {
+  PublishResult Publish(int m, std::uint64_t serial, const std::vector<Change>& whole) {
     std::set<std::string, std::less<>> touched;
-    auto differ = [&](bool) {
+    auto differ = [&](Baseline) {
       const Store& store = machine(m).control->store();
       std::vector<Change> changes;
       std::map<std::string, std::string> wanted;
@@ -117,10 +117,10 @@
       }
       return changes;
     };
-    ControlMachine& control = *machine(m).control;
+    ConfigServer& control = *machine(m).control;
     auto published =
         control.Publish(now, serial, differ, 1'000'000 + static_cast<std::uint64_t>(now), &touched);
-    if (published == ControlMachine::Published::kDone) {
+    if (published == PublishResult::kPublished) {
       ++node(m).number;  // the question that was out is void
       Poll(m, now);
       Wake(m);
@@ -161,19 +161,19 @@
   }
   void Move(int p, Scope scope) {
     proxy(p).own->SetScope(now, std::move(scope));
-    proxy(p).own->Void(now);
+    proxy(p).own->AbandonRequest(now);
     ++proxy(p).number;
     Poll(machines() + p, now);
   }
   bool Everywhere(std::uint64_t serial) {
     for (int p = 0; p < proxies(); ++p)
-      if (proxy(p).own->held().head().serial != serial) return false;
+      if (proxy(p).own->store().head().serial != serial) return false;
     return true;
   }
   std::size_t MostWholes() {
     std::size_t most = 0;
     for (auto& m : machines_)
-      if (m.control) most = std::max(most, m.control->admission().most_held());
+      if (m.control) most = std::max(most, m.control->admission().max_slots_in_use());
     return most;
   }
 
@@ -191,7 +191,7 @@
     options.self = "p" + std::to_string(p);
     options.seed = seed_ * 7919 + static_cast<unsigned>(p);
     for (int m = 0; m < machines(); ++m)
-      (machine(m).region == region ? options.near : options.others).push_back("m" + std::to_string(m));
+      (machine(m).region == region ? options.nearby : options.others).push_back("m" + std::to_string(m));
     return options;
   }
   Micros Delay() { return static_cast<Micros>(500 + random_() % (30 * kMs)); }
@@ -200,21 +200,21 @@
   void Poll(int n, Micros when) {
     At(when, [this, n] {
       if (!node(n).own && !machine(node(n).machine).control) return;
-      auto ask = follower(n).Next(now);
-      if (!ask) {
+      auto request = follower(n).NextRequest(now);
+      if (!request) {
         if (follower(n).due() != Follower::kNever && follower(n).due() > now) Poll(n, follower(n).due());
         return;
       }
       std::uint64_t number = ++node(n).number;
-      At(now + ask->within, [this, n, number] { Lost(n, number); });
-      int m = std::stoi(ask->machine.substr(1));
+      At(now + request->timeout, [this, n, number] { Lost(n, number); });
+      int m = std::stoi(request->server.substr(1));
       int life = machine(m).life;
       if (Parted(node(n).region, machine(m).region) || machine(m).silent) return;  // it finds out by the time
       if (!machine(m).control) return Lose(n, number, Delay());
-      At(now + Delay(), [this, n, m, number, life, ask = *ask] {
+      At(now + Delay(), [this, n, m, number, life, request = *request] {
         if (machine(m).life != life) return Lose(n, number, Delay());
         if (machine(m).silent) return;
-        Hear(m, {n, number, ask.question, Self(n), now + ask.wait});
+        Hear(m, {n, number, request.page, Self(n), now + request.wait});
       });
     });
   }
@@ -223,8 +223,9 @@
   }
 
   void Hear(int m, const Machine::Waiting& w) {
-    Reply reply = machine(m).control->Hear(now, w.who, w.question, now < w.until);
-    if (reply.kind != Reply::Kind::kWait) return Answer(m, w, reply);
+    Response reply = machine(m).control->HandleRequest(
+        now, w.who, w.question, now < w.until ? IfUnchanged::kWait : IfUnchanged::kAnswer);
+    if (reply.kind != Response::Kind::kWait) return Answer(m, w, reply);
     std::uint64_t id = ++ids_;
     machine(m).waiting[id] = w;
     int life = machine(m).life;
@@ -244,11 +245,11 @@
     }
   }
 
-  void Answer(int m, const Machine::Waiting& w, const Reply& reply) {
+  void Answer(int m, const Machine::Waiting& w, const Response& reply) {
     std::size_t bytes = 0;
     for (const Change& c : reply.page.changes) bytes += c.key.size() + (c.value ? c.value->size() : 0) + 16;
     // Pages of a whole take the machine's time, one after another; a delta goes ahead of them.
-    bool whole = reply.kind == Reply::Kind::kPage && reply.page.whole;
+    bool whole = reply.kind == Response::Kind::kPage && reply.page.is_snapshot;
     Micros work = whole ? 2 * kMs : 50;
     if (whole) {
       ++machine(m).wholes;
@@ -261,21 +262,21 @@
       if (n.number != w.number) return;  // given up meanwhile
       ++n.number;
       Follower& f = follower(w.node);
-      std::uint64_t before = f.held().head().serial;
-      Identity head = f.held().head();
-      if (reply.kind == Reply::Kind::kBusy) {
-        f.Busy(now, reply.retry_after);
-      } else if (reply.kind == Reply::Kind::kBehind) {
-        f.Behind(now);
+      std::uint64_t before = f.store().head().serial;
+      StorePosition head = f.store().head();
+      if (reply.kind == Response::Kind::kBusy) {
+        f.OnBusy(now, reply.retry_after);
+      } else if (reply.kind == Response::Kind::kBehind) {
+        f.OnServerBehind(now);
       } else {
-        auto changes = f.Answered(now, reply.page, bytes);
+        auto changes = f.OnPage(now, reply.page, bytes);
         if (n.own) bytes_to_proxies += bytes;
         for (const Change& c : changes) {
           if (c.value) n.in_force[c.key] = *c.value;
           if (!c.value) n.in_force.erase(c.key);
         }
-        back = back || f.held().head().serial < before;
-        if (!n.own && !(f.held().head() == head)) Wake(n.machine);
+        back = back || f.store().head().serial < before;
+        if (!n.own && !(f.store().head() == head)) Wake(n.machine);
       }
       Poll(w.node, f.due());
     });
@@ -287,7 +288,7 @@
     if (node(n).number != number) return;
     ++node(n).number;
     if (!node(n).own && !machine(node(n).machine).control) return;
-    follower(n).Failed(now);
+    follower(n).OnFailure(now);
     Poll(n, follower(n).due());
   }
 
@@ -312,8 +313,8 @@
 
 // The machines are up and every proxy holds serial 1.
 void Settle(World& world, const std::vector<Change>& settings) {
-  Micros took = world.Until(
-      60 * kSecond, [&] { return world.Publish(0, 1, settings) != ControlMachine::Published::kNotYet; });
+  Micros took =
+      world.Until(60 * kSecond, [&] { return world.Publish(0, 1, settings) != PublishResult::kNotSettled; });
   REQUIRE(took >= 0);
   REQUIRE(world.Until(60 * kSecond, [&] { return world.Everywhere(1); }) >= 0);
   world.Run(world.now + 5 * kSecond);
@@ -324,7 +325,7 @@
   bool same = true;
   const Scope& scope = world.proxy(p).own->scope();
   origin.ForEach([&](const std::string& key, const std::string& value) {
-    if (!scope.Takes(ReadKey(key)->service)) return;
+    if (!scope.Includes(ParseKey(key)->service)) return;
     ++count;
     auto it = world.proxy(p).in_force.find(key);
     same = same && it != world.proxy(p).in_force.end() && it->second == value;
@@ -343,8 +344,7 @@
       if (m % 2 == 0) world.Kill(m);
       if (m % 2 == 1) world.machine(m).silent = true;
       ++serial;
-      CHECK(world.Publish(0, serial, Settings(50, 1, std::to_string(serial))) ==
-            ControlMachine::Published::kDone);
+      CHECK(world.Publish(0, serial, Settings(50, 1, std::to_string(serial))) == PublishResult::kPublished);
       Micros took = world.Until(kAim, [&] { return world.Everywhere(serial); });
       CAPTURE(m);
       CHECK(took >= 0);
@@ -354,13 +354,13 @@
     world.Run(world.now + 600 * kSecond);
     for (int p = 0; p < world.proxies(); ++p) {
       REQUIRE(Agree(world, p, last));
-      CHECK_FALSE(world.proxy(p).own->current());
+      CHECK_FALSE(world.proxy(p).own->is_current());
     }
     // One is back, from nothing, by its file: the proxies hold what it says and go on with what is new.
     world.Start(0);
     Micros took = world.Until(kAim, [&] {
       auto published = world.Publish(0, serial + 1, Settings(50, 1, "back"));
-      return published == ControlMachine::Published::kDone;
+      return published == PublishResult::kPublished;
     });
     CHECK(took >= 0);
     CHECK(world.Until(kAim, [&] { return world.Everywhere(serial + 1); }) >= 0);
@@ -397,7 +397,7 @@
       world.Run(world.now + 60 * kSecond);
       for (int p = 0; p < world.proxies(); ++p) {
         bool cut = world.proxy(p).region == 4;
-        CHECK(world.proxy(p).own->held().head().serial == (cut ? 1 : serial));
+        CHECK(world.proxy(p).own->store().head().serial == (cut ? 1 : serial));
         CHECK(world.proxy(p).in_force.size() == 2'000);
       }
     }
@@ -431,17 +431,17 @@
     world.Kill(2);
     world.Start(2);
     Micros took = world.Until(30 * kSecond, [&] {
-      return world.Publish(2, 3, Settings(50, 1, "3")) == ControlMachine::Published::kOld;
+      return world.Publish(2, 3, Settings(50, 1, "3")) == PublishResult::kSerialTooLow;
     });
     CHECK(took >= 0);
-    CHECK(world.Publish(2, 4, Settings(50, 1, "other")) == ControlMachine::Published::kDiffers);
-    CHECK(world.Publish(2, 4, Settings(50, 1, "4")) == ControlMachine::Published::kAlready);
+    CHECK(world.Publish(2, 4, Settings(50, 1, "other")) == PublishResult::kSerialReused);
+    CHECK(world.Publish(2, 4, Settings(50, 1, "4")) == PublishResult::kUnchanged);
     world.Run(world.now + 30 * kSecond);
     CHECK(world.Everywhere(4));
     // With a newer file it is the origin, and goes on by deltas: nobody needs the whole.
     std::size_t wholes = 0;
     for (int m = 0; m < 4; ++m) wholes += world.machine(m).wholes;
-    CHECK(world.Publish(2, 5, Settings(50, 1, "5")) == ControlMachine::Published::kDone);
+    CHECK(world.Publish(2, 5, Settings(50, 1, "5")) == PublishResult::kPublished);
     CHECK(world.Until(kAim, [&] { return world.Everywhere(5); }) >= 0);
     std::size_t after = 0;
     for (int m = 0; m < 4; ++m) after += world.machine(m).wholes;
@@ -459,28 +459,26 @@
   world.Kill(0);
   world.Kill(1);
   world.Start(1);
-  Micros took = world.Until(30 * kSecond, [&] {
-    return world.Publish(1, 2, Settings(10, 1, "2")) == ControlMachine::Published::kDone;
-  });
+  Micros took = world.Until(
+      30 * kSecond, [&] { return world.Publish(1, 2, Settings(10, 1, "2")) == PublishResult::kPublished; });
   CHECK(took >= 0);
   world.Run(world.now + 120 * kSecond);
   CHECK(world.Everywhere(5));
   CHECK_FALSE(world.back);
   for (int p = 0; p < world.proxies(); ++p) {
     CHECK(world.proxy(p).in_force.size() == 50);
-    CHECK_FALSE(world.proxy(p).own->current());
+    CHECK_FALSE(world.proxy(p).own->is_current());
   }
   // The same serial in a line of its own, begun later: taken, so that a tier restarted from its file serves
   // on.
   world.Kill(1);
   world.Start(1);
-  took = world.Until(30 * kSecond, [&] {
-    return world.Publish(1, 5, Settings(50, 1, "5")) == ControlMachine::Published::kDone;
-  });
+  took = world.Until(30 * kSecond,
+                     [&] { return world.Publish(1, 5, Settings(50, 1, "5")) == PublishResult::kPublished; });
   CHECK(took >= 0);
   CHECK(world.Until(kAim, [&] {
     for (int p = 0; p < world.proxies(); ++p)
-      if (!world.proxy(p).own->current()) return false;
+      if (!world.proxy(p).own->is_current()) return false;
     return true;
   }) >= 0);
 }
@@ -493,8 +491,8 @@
     // The bytes of the target's whole for a proxy (some 30 kB, two pages), in fewer and longer entries.
     std::string long_value = "{\"portion\":0.001,\"quotaRps\":5,\"note\":\"" + std::string(200, 'x') + "\"}";
     std::vector<Change> settings = Settings(kServices * 100, kServices, long_value);
-    Micros took = world.Until(
-        60 * kSecond, [&] { return world.Publish(0, 1, settings) != ControlMachine::Published::kNotYet; });
+    Micros took = world.Until(60 * kSecond,
+                              [&] { return world.Publish(0, 1, settings) != PublishResult::kNotSettled; });
     REQUIRE(took >= 0);
     took = world.Until(60 * kSecond, [&] { return world.Everywhere(1); });
     CAPTURE(took);
@@ -527,7 +525,7 @@
       // Half of all is another entry from now on, the rest has a new value.
       ++serial;
       auto settings = Settings(1'200, 4, std::to_string(serial), round * 600);
-      REQUIRE(world.Publish(0, serial, settings) == ControlMachine::Published::kDone);
+      REQUIRE(world.Publish(0, serial, settings) == PublishResult::kPublished);
       for (int p = 0; p < world.proxies(); ++p) {
         if ((p + round) % 2 == 0)
           world.Move(p,
@@ -541,7 +539,7 @@
       world.Start(m);
       CHECK(world.Until(kAim, [&] {
         for (int p = 0; p < world.proxies(); ++p)
-          if (world.proxy(p).own->walking()) return false;
+          if (world.proxy(p).own->is_loading_snapshot()) return false;
         return world.Everywhere(serial);
       }) >= 0);
       for (int p = 0; p < world.proxies(); ++p) {
@@ -556,28 +554,28 @@
 TEST_CASE("a page that doesn't join what is held is not taken") {
   FollowerOptions options;
   options.self = "p";
-  options.near = {"m0", "m1"};
+  options.nearby = {"m0", "m1"};
   options.scope.services = {"a"};
   Follower follower(options);
   Store store;
   store.Publish(1, 7, {{"tenant/a/t", "x", 0}, {"tenant/a/u", "x", 0}});
-  auto ask = follower.Next(0);
-  REQUIRE(ask);
-  CHECK(follower.Answered(1, store.Tell(ask->question, 1 << 20), 100).size() == 2);
+  auto request = follower.NextRequest(0);
+  REQUIRE(request);
+  CHECK(follower.OnPage(1, store.MakePage(request->page, 1 << 20), 100).size() == 2);
   store.Publish(2, 7, {{"tenant/a/t", "y", 0}});
-  ask = follower.Next(10);
-  REQUIRE(ask);
-  Page fine = store.Tell(ask->question, 1 << 20);
+  request = follower.NextRequest(10);
+  REQUIRE(request);
+  Page fine = store.MakePage(request->page, 1 << 20);
   auto refused = [&](Page page) {
     Follower tried = follower;
-    bool none = tried.Answered(11, page, 100).empty();
-    return none && tried.failures() == 1 && tried.held().head() == follower.held().head();
+    bool none = tried.OnPage(11, page, 100).empty();
+    return none && tried.failures() == 1 && tried.store().head() == follower.store().head();
   };
   Page gap = fine;
   gap.after = 1;
   CHECK(refused(gap));
   Page beyond = fine;
-  beyond.to = 100;
+  beyond.up_to = 100;
   CHECK(refused(beyond));
   Page stranger = fine;
   stranger.head.epoch = 8;
@@ -586,13 +584,13 @@
   unordered.changes.push_back(unordered.changes[0]);
   CHECK(refused(unordered));
   Page middle = fine;
-  middle.whole = true;
+  middle.is_snapshot = true;
   CHECK(refused(middle));
   Page older = fine;
   older.head.serial = 0;
   CHECK(refused(older));
-  CHECK(follower.Answered(11, fine, 100).size() == 1);
+  CHECK(follower.OnPage(11, fine, 100).size() == 1);
 }
 
 }  // namespace
-}  // namespace dappletiller::feed
+}  // namespace dappletiller::config_feed
--- a/tests/golden/feed_golden_test.cpp
+++ b/tests/golden/feed_golden_test.cpp
@@ -3,10 +3,10 @@
 #include <string>
 #include <vector>
 
-#include "config_feed/client/settings_feed.hpp"
-#include "config_feed/control_machine.hpp"
-#include "config_feed/origin.hpp"
-#include "config_feed/page_json.hpp"
+#include "config_feed/client/feed_client.hpp"
+#include "config_feed/config_server.hpp"
+#include "config_feed/origin_file.hpp"
+#include "config_feed/page_codec.hpp"
 #include "control_server/feed_server.hpp"
 #include "golden.hpp"
 #include "net/support.hpp"
@@ -14,12 +14,12 @@
 namespace dappletiller::testing {
 namespace {
 
-feed::Page FixedPage(bool whole) {
-  feed::Page page;
+config_feed::Page FixedPage(bool whole) {
+  config_feed::Page page;
   page.head = {13, 0xffffffffffff, 351};
-  page.to = 351;
+  page.up_to = 351;
   page.after = whole ? 0 : 340;
-  page.whole = whole;
+  page.is_snapshot = whole;
   page.ancestors = {{5, 300}, {6, 320}};
   page.changes = {{"tenant/plan-7/acme", R"({"portion":0.5,"quotaRps":4})", 341},
                   {"class/*/\"quoted\"/x", "1", 342},
@@ -28,15 +28,16 @@
 }
 
 TEST_CASE("pages and requests of the feed are written as before, and the recorded ones are read") {
-  feed::Asked delta{"p1", {}, 2000};
-  delta.question.held = {12, 7, 340};
-  delta.question.scope.services = {"plan-1", "plan-7"};
-  feed::Asked snapshot{"p1", {}, 0};
-  snapshot.question.held = {12, 0, 0};
-  snapshot.question.began = 350;
-  snapshot.question.scope.all = true;
-  std::string all = feed::WriteQuestion(delta) + "\n" + feed::WriteQuestion(snapshot) + "\n" +
-                    feed::WritePage(FixedPage(false)) + "\n" + feed::WritePage(FixedPage(true)) + "\n";
+  config_feed::FeedRequest delta{"p1", {}, 2000};
+  delta.page.position = {12, 7, 340};
+  delta.page.scope.services = {"plan-1", "plan-7"};
+  config_feed::FeedRequest snapshot{"p1", {}, 0};
+  snapshot.page.position = {12, 0, 0};
+  snapshot.page.snapshot_began_at = 350;
+  snapshot.page.scope.all = true;
+  std::string all = config_feed::WriteRequest(delta) + "\n" + config_feed::WriteRequest(snapshot) + "\n" +
+                    config_feed::WritePage(FixedPage(false)) + "\n" +
+                    config_feed::WritePage(FixedPage(true)) + "\n";
   std::string recorded = Golden("feed_pages.txt", all);
   CHECK(recorded == all);
   std::vector<std::string> lines;
@@ -44,17 +45,17 @@
     lines.push_back(recorded.substr(at, end - at));
   }
   REQUIRE(lines.size() == 4);
-  auto request = feed::ReadQuestion(lines[0]);
+  auto request = config_feed::ParseRequest(lines[0]);
   REQUIRE(request.has_value());
-  CHECK(request->question.held == delta.question.held);
-  CHECK(request->question.scope == delta.question.scope);
-  CHECK(feed::ReadQuestion(lines[1])->question.began == 350);
+  CHECK(request->page.position == delta.page.position);
+  CHECK(request->page.scope == delta.page.scope);
+  CHECK(config_feed::ParseRequest(lines[1])->page.snapshot_began_at == 350);
   for (bool whole : {false, true}) {
-    auto page = feed::ReadPage(lines[whole ? 3 : 2]);
+    auto page = config_feed::ParsePage(lines[whole ? 3 : 2]);
     REQUIRE(page.has_value());
     CHECK(page->changes == FixedPage(whole).changes);
     CHECK(page->ancestors == FixedPage(whole).ancestors);
-    CHECK(page->whole == whole);
+    CHECK(page->is_snapshot == whole);
   }
 }
 
@@ -67,9 +68,9 @@
       "\n"
       R"({"kind": "route", "service": "plan-7", "name": "/a/b", "value": [1, "x", null]})"
       "\n";
-  feed::Origin origin("settings.jsonl");
+  config_feed::OriginFile origin("settings.jsonl");
   std::string all;
-  for (const feed::Change& change : origin.Read(Golden("origin.jsonl", file)).changes) {
+  for (const config_feed::Change& change : origin.Read(Golden("origin.jsonl", file)).changes) {
     all += change.key + " " + *change.value + "\n";
   }
   CHECK(Golden("origin_entries.txt", all) == all);
@@ -80,7 +81,7 @@
         "{\"serial\": "
         "13}\n{\"kind\":\"tenant\",\"service\":\"a\",\"name\":\"b\",\"value\":{\"portion\":2}}\n",
         "{\"serial\": 13}\n{\"kind\":\"x\",\"service\":\"a\",\"name\":\"b\",\"value\":1,\"more\":1}\n"}) {
-    CHECK_THROWS_AS(origin.Read(bad), feed::OriginError);
+    CHECK_THROWS_AS(origin.Read(bad), config_feed::OriginError);
   }
   CHECK(origin.serial() == 12);
 }
@@ -95,14 +96,14 @@
 
 TEST_CASE("the control server's answers, heads and all, are as before") {
   Rig rig;
-  feed::FollowerOptions options;
+  config_feed::FollowerOptions options;
   options.self = "c1";
-  feed::ControlMachine machine(options, 4);
+  config_feed::ConfigServer machine(options, 4);
   std::set<std::string, std::less<>> touched;
-  std::vector<feed::Change> entries = {{"tenant/plan-7/acme", "{}", 0},
-                                       {"class/*/check", "{\"giveUp\":1}", 0}};
+  std::vector<config_feed::Change> entries = {{"tenant/plan-7/acme", "{}", 0},
+                                              {"class/*/check", "{\"giveUp\":1}", 0}};
   machine.Publish(
-      rig.loop.Now(), 12, [&](bool) { return entries; }, 7, &touched);
+      rig.loop.Now(), 12, [&](config_feed::Baseline) { return entries; }, 7, &touched);
   FeedServer server(rig.loop, rig.log, machine);
   server.Listen({kLoopback, 0});
   auto get = [](const std::string& target) {
@@ -121,20 +122,20 @@
   CHECK(Golden("control_answers.txt", all) == all);
 }
 
-struct NoSink final : SettingsSink {
-  void SettingsChanged(const std::vector<feed::Change>&) override {}
+struct NoSink final : SettingsObserver {
+  void OnSettingsChanged(const std::vector<config_feed::Change>&) override {}
 };
 
 TEST_CASE("the state of the feed that the console shows is as before") {
   Rig rig;
-  feed::FollowerOptions options;
+  config_feed::FollowerOptions options;
   options.self = "p1";
-  options.near = {"127.0.0.1:1"};
+  options.nearby = {"127.0.0.1:1"};
   options.scope.services = {"plan-1", "plan-7"};
-  feed::Follower follower(options);
+  config_feed::Follower follower(options);
   NoSink sink;
-  SettingsFeed settings(rig.loop, rig.log, follower, "p1", sink);
-  std::string all = settings.Json() + "\n";
+  FeedClient settings(rig.loop, rig.log, follower, "p1", sink);
+  std::string all = settings.StatusJson() + "\n";
   CHECK(Golden("console_settings.txt", all) == all);
 }
 
--- a/tests/net/support.hpp
+++ b/tests/net/support.hpp
@@ -242,7 +242,7 @@
   std::shared_ptr<BodyMemory> long_bodies;
   WorkerLinks workers;
   Acceptor acceptor;
-  Discovery discovery;
+  DiscoveryClient discovery;
 };
 
 // The connection on which discovery was asked for `target` (and the test has not seen it), once one has been.
