--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -16,11 +16,13 @@
 
 // Names the clock that TimePoint counts on; it has no now(), since only the event loop may read one.
 struct MonotonicClock {
+  // NOLINTBEGIN(readability-identifier-naming): the standard's names for a clock's members
   using rep = std::int64_t;
   using period = std::micro;
   using duration = std::chrono::microseconds;
   using time_point = std::chrono::time_point<MonotonicClock>;
   static constexpr bool is_steady = true;
+  // NOLINTEND(readability-identifier-naming)
 };
 
 // A span of time.
--- a/src/config_feed/entry.hpp
+++ b/src/config_feed/entry.hpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxKeyPartSize = 120;  // bytes of a kind, a service or a name
 constexpr std::size_t kMaxValueSize = 4096;   // bytes
 constexpr std::size_t kMaxPageSize =
-    24 * 1024;  // bytes of keys and values, so that a page fits the HTTP parser
+    std::size_t{24} * 1024;  // bytes of keys and values, so that a page fits the HTTP parser
 constexpr std::size_t kMaxAncestors = 16;
 constexpr std::string_view kAllServices = "*";
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMinReceiveBuffer = 2048;
-constexpr std::size_t kMaxReceiveBuffer = 16 * 1024;
+constexpr std::size_t kMaxReceiveBuffer = std::size_t{16} * 1024;
 constexpr std::size_t kMaxChunkLineSize = 256;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -18,13 +18,13 @@
 
 namespace dappletiller::http {
 
-constexpr std::size_t kMaxHeadSize = 16 * 1024;
+constexpr std::size_t kMaxHeadSize = std::size_t{16} * 1024;
 constexpr std::size_t kMaxHeaders = 100;
-constexpr std::size_t kMaxBodySize = 64 * 1024;  // of any message that is forwarded
+constexpr std::size_t kMaxBodySize = std::size_t{64} * 1024;  // of any message that is forwarded
 // Of a message that is forwarded, while there is memory for what it has beyond kMaxBodySize.
-constexpr std::size_t kMaxLongBodySize = 1024 * 1024;
+constexpr std::size_t kMaxLongBodySize = std::size_t{1024} * 1024;
 // Of an endpoint list: some 170 bytes a server.
-constexpr std::size_t kMaxEndpointListSize = 32 * 1024 * 1024;
+constexpr std::size_t kMaxEndpointListSize = std::size_t{32} * 1024 * 1024;
 
 class Parser {
  public:
--- a/src/membership/broadcast_queue.cpp
+++ b/src/membership/broadcast_queue.cpp
@@ -66,7 +66,7 @@
     candidates.push_back(update);
   }
   std::size_t size = EncodedSizeBound(*message) + reserved_size;
-  for (Updates::iterator update : candidates) {
+  for (auto update : candidates) {
     const std::size_t added = EncodedSizeBound(update->second.record);
     if (size + added > max_size) continue;
     size += added;
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -230,7 +230,7 @@
   randombytes_buf(key.data(), key.size());
   std::array<char, 2 * sizeof(Key) + 1> hex;
   sodium_bin2hex(hex.data(), hex.size(), key.data(), key.size());
-  return std::string(hex.data());
+  return hex.data();
 }
 
 }  // namespace dappletiller::membership
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -216,6 +216,7 @@
     if (it == dead.end()) it = dead.begin();
     Member* member = state_.members.Find(*it);
     if (now > member->since + state_.settings.dead_member_retention) {
+      // NOLINTNEXTLINE(performance-unnecessary-copy-initialization): Remove frees what `it` refers to
       const std::string name = *it;
       state_.events.Add(now, EventKind::kForgotten, name, "dead for long");
       state_.members.Remove(name);
--- a/src/membership/transport/membership_transport.cpp
+++ b/src/membership/transport/membership_transport.cpp
@@ -16,7 +16,6 @@
 namespace dappletiller {
 namespace {
 
-using membership::DecodeError;
 using membership::EventKind;
 using membership::Message;
 using membership::MessageKind;
--- a/src/membership/transport/quota_lease_session.cpp
+++ b/src/membership/transport/quota_lease_session.cpp
@@ -9,7 +9,6 @@
 using membership::Message;
 using membership::Outgoing;
 using quota_lease::LeaseRequest;
-using quota_lease::LeaseResponse;
 
 // Part of the wire format.
 constexpr const char* kRequestTopic = "loan-ask";
--- a/src/membership/transport/state_exchange_stream.hpp
+++ b/src/membership/transport/state_exchange_stream.hpp
@@ -17,7 +17,7 @@
 
 class StateExchangeStream final : public StreamSocket::Callbacks {
  public:
-  static constexpr std::size_t kMaxFrameSize = 2 * 1024 * 1024;
+  static constexpr std::size_t kMaxFrameSize = std::size_t{2} * 1024 * 1024;
   static constexpr Micros kTimeLimit = 3'000'000;  // of the whole exchange
 
   // Called from within the stream's callbacks; it may close the stream but not free it
--- a/src/proxy/parts.cpp
+++ b/src/proxy/parts.cpp
@@ -19,10 +19,10 @@
   return scope;
 }
 
-ProxyParts::ProxyParts(Log& program_log, Config loaded, const std::string& operator_file)
+ProxyParts::ProxyParts(Log& program_log, Config loaded, std::string operator_file)
     : log(program_log),
       config(std::move(loaded)),
-      operator_path(operator_file),
+      operator_path(std::move(operator_file)),
       dispatcher(loop, log, config.settings),
       descriptors(ConnectionLimit(config), ReservedForClients(config)),
       long_bodies(std::make_shared<BodyMemory>(LongBodyMemory(config))),
--- a/src/proxy/parts.hpp
+++ b/src/proxy/parts.hpp
@@ -39,7 +39,7 @@
 struct ProxyParts final : private QuotaShareObserver {
   // Throws ConfigError, std::invalid_argument, operators::OperatorError or std::system_error.
   // `operator_path`: empty without an operator file.
-  ProxyParts(Log& log, Config loaded, const std::string& operator_path);
+  ProxyParts(Log& log, Config loaded, std::string operator_path);
   ProxyParts(const ProxyParts&) = delete;
   ProxyParts& operator=(const ProxyParts&) = delete;
 
