--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # Short names for what README.md and .ci/run do.
 SOURCES = $(shell git ls-files '*.cpp' '*.hpp')
 
-.PHONY: build test lint format run clean
+.PHONY: build test tidy lint format run clean
 
 build:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DBUILD_TESTING=OFF
@@ -10,6 +10,10 @@
 test:
 	bash tests/run
 
+# Needs a build-test folder, as tests/run leaves one.
+tidy:
+	bash tools/tidy build-test
+
 lint:
 	clang-format --dry-run --Werror $(SOURCES)
 
--- a/src/admin/console.cpp
+++ b/src/admin/console.cpp
@@ -56,7 +56,7 @@
     }
     http::WriteStatusResponse(status, text, 0, false, &socket.output(), type);
     socket.Flush();
-    // A caller that doesn't read its answer is not waited for.
+    // A sink that doesn't read its answer is not waited for.
     timer_.Set(kCallTime, [this] { console_.Drop(id_); });
   }
 
@@ -88,7 +88,7 @@
     FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      return;  // EAGAIN, or no descriptor: the caller's connection waits in the kernel for its next edge
+      return;  // EAGAIN, or no descriptor: the sink's connection waits in the kernel for its next edge
     }
     // Guards against silent callers holding every place: the one that has waited longest goes.
     if (conns_.size() >= kMaxConnections) Drop(conns_.begin()->first);
--- a/src/admin/console.hpp
+++ b/src/admin/console.hpp
@@ -1,7 +1,7 @@
 // The operators' console on the second address: one HTTP/1.1 call to a connection, answered and closed. The
 // driver only reads, parses with the byte-fed parser and writes; what a call means is the handler's.
 // Guards against callers that stall it: each connection has kCallTime in all, and at most kMaxConnections are
-// open, the oldest going first, so that a silent crowd never keeps a real caller waiting.
+// open, the oldest going first, so that a silent crowd never keeps a real sink waiting.
 #ifndef DAPPLETILLER_ADMIN_CONSOLE_HPP_
 #define DAPPLETILLER_ADMIN_CONSOLE_HPP_
 
@@ -33,7 +33,7 @@
 
 class Console final : private EventHandler {
  public:
-  static constexpr Micros kCallTime = 900'000;       // a caller waits 1 s at most
+  static constexpr Micros kCallTime = 900'000;       // a sink waits 1 s at most
   static constexpr std::size_t kMaxConnections = 8;  // of the descriptors that the process keeps for itself
 
   Console(EventLoop& loop, Log& log, ConsoleHandler& handler);
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,5 +1,5 @@
 // The operators' own file (TOML): what the platform's configuration doesn't say. Without it the program is
-// exactly what the platform starts. Reads a text, touches no file but the key's, which the caller hands over
+// exactly what the platform starts. Reads a text, touches no file but the key's, which the sink hands over
 // as a function. Throws OperatorError (section.hpp): file, line, key, remedy.
 #ifndef DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
 #define DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -116,18 +116,18 @@
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-WorkerEntry ReadEntry(const Json::Value& value, const Names& names) {
-  WorkerEntry entry;
+EndpointEntry ReadEntry(const Json::Value& value, const Names& names) {
+  EndpointEntry entry;
   entry.uid = Text(value, "uid");
   std::string state = Text(value, "state");
   if (state == "removed") {
-    entry.state = WorkerState::kGone;
+    entry.state = EndpointState::kRemoved;
   } else if (state == "draining") {
-    entry.state = WorkerState::kDraining;
+    entry.state = EndpointState::kDraining;
   } else if (state != "up") {
     throw ConfigError("unknown state " + state.substr(0, 40));
   }
-  if (entry.state != WorkerState::kGone || value.isMember("endpoint")) {
+  if (entry.state != EndpointState::kRemoved || value.isMember("endpoint")) {
     entry.endpoint = Address(value, "endpoint");
   }
   entry.zone = PlaceOf(names.zones, Text(value, "az"));
@@ -139,12 +139,12 @@
   return entry;
 }
 
-WorkerList ReadList(const Json::Value& value, const Names& names) {
-  WorkerList list;
+EndpointList ReadList(const Json::Value& value, const Names& names) {
+  EndpointList list;
   list.version = static_cast<std::uint64_t>(Number(value, "rev"));
   const Json::Value& all = Member(value, "all");
   if (!all.isBool()) throw ConfigError("all is neither true nor false");
-  list.kind = all.asBool() ? WorkerList::Kind::kFull : WorkerList::Kind::kChanges;
+  list.kind = all.asBool() ? EndpointList::Kind::kFull : EndpointList::Kind::kChanges;
   const Json::Value& targets = Member(value, "targets");
   if (!targets.isArray()) throw ConfigError("targets is not a list");
   for (const Json::Value& target : targets) list.entries.push_back(ReadEntry(target, names));
@@ -188,7 +188,7 @@
     config.longest_deadline = std::max(config.longest_deadline, c.deadline);
   }
   config.known = ReadList(Member(root, "known"), config.names);
-  config.known.kind = WorkerList::Kind::kCached;
+  config.known.kind = EndpointList::Kind::kCached;
   return config;
 }
 
@@ -204,7 +204,7 @@
   }
 }
 
-std::optional<WorkerList> ParseList(std::string_view json, const Names& names) {
+std::optional<EndpointList> ParseList(std::string_view json, const Names& names) {
   try {
     return ReadList(ParseJson(json), names);
   } catch (const std::exception&) {
--- a/src/config/platform_config.hpp
+++ b/src/config/platform_config.hpp
@@ -33,7 +33,7 @@
   std::string discovery_text;
   std::size_t sockets = 1024;
   std::size_t memory = 0;  // bytes that the process may take; 0: not told
-  WorkerList known;
+  EndpointList known;
   sandstand::Settings settings;
   std::string settings_text;  // the same as path=value lines, to tell whether they have changed
   std::vector<std::string> classes;
@@ -47,7 +47,7 @@
 
 Config ParseConfig(std::string_view json);  // throws ConfigError
 // A list in discovery's form; nothing if it is malformed.
-std::optional<WorkerList> ParseList(std::string_view json, const Names& names);
+std::optional<EndpointList> ParseList(std::string_view json, const Names& names);
 
 }  // namespace dappletiller
 
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -34,7 +34,8 @@
 
 // ---- Requests ----
 
-DiscoveryClient::DiscoveryClient(EventLoop& loop, Log& log, Gateway& dispatcher, DiscoveryOptions options)
+DiscoveryClient::DiscoveryClient(EventLoop& loop, Log& log, RequestDispatcher& dispatcher,
+                                 DiscoveryOptions options)
     : loop_(loop),
       log_(log),
       dispatcher_(dispatcher),
@@ -63,7 +64,7 @@
   if (call->kind() == Kind::kLongPoll && !needs_whole_list_) {
     target += "?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(wait / 1000);
   }
-  ++dispatcher_.tally().list_calls;
+  ++dispatcher_.counters().list_calls;
   call->Send(target, wait, TimeoutFor(wait));
 }
 
@@ -95,7 +96,7 @@
     OnFailure(call, "turned down");
     return;
   }
-  const std::optional<WorkerList> list = ParseList(response.body(), options_.names);
+  const std::optional<EndpointList> list = ParseList(response.body(), options_.names);
   if (!list) {
     OnFailure(call, "malformed list");
     return;
@@ -103,18 +104,18 @@
   OnList(call, *list);
 }
 
-void DiscoveryClient::OnList(const Call& call, const WorkerList& list) {
+void DiscoveryClient::OnList(const Call& call, const EndpointList& list) {
   const bool is_long_poll = call.kind() == Kind::kLongPoll;
   // A late answer to a fetch must not undo what the long poll has brought since.
   const bool is_old = !is_long_poll && !needs_whole_list_ && list.version < version_;
   if (!is_old) version_ = list.version;
-  if (list.kind == WorkerList::Kind::kFull) needs_whole_list_ = false;
+  if (list.kind == EndpointList::Kind::kFull) needs_whole_list_ = false;
   if (is_long_poll) {
     long_poll_failures_ = 0;
     // Leaves before the list takes effect: it has to come within 200 ms, whatever the list sets off.
     Send(LongPollTime(), &long_poll_);
   }
-  if (!is_old) dispatcher_.Learn(list);
+  if (!is_old) dispatcher_.OnEndpointUpdate(list);
 }
 
 void DiscoveryClient::OnRequestFailed(Call& call, http::RequestError error) {
@@ -130,22 +131,22 @@
 // Is opened anew at once: the clock of what it missed is running, and pauses are there to spare a discovery
 // that refused, which this one did not.
 void DiscoveryClient::OnSilentLongPoll() {
-  ++dispatcher_.tally().list_failures;
+  ++dispatcher_.counters().list_failures;
   log_.Info("discovery: a watch failed: silent, opened anew");
   Send(0, &long_poll_);
 }
 
 void DiscoveryClient::OnFailure(const Call& call, const char* why) {
-  ++dispatcher_.tally().list_failures;
+  ++dispatcher_.counters().list_failures;
   const bool is_long_poll = call.kind() == Kind::kLongPoll;
   log_.Info("discovery: a %s failed: %s", is_long_poll ? "watch" : "fetch", why);
   if (is_long_poll) {
     retry_.Set(PauseAfterFailure(call), [this] { Watch(); });
     return;
   }
-  WorkerList failed;
-  failed.kind = WorkerList::Kind::kFailed;
-  dispatcher_.Learn(failed);
+  EndpointList failed;
+  failed.kind = EndpointList::Kind::kFailed;
+  dispatcher_.OnEndpointUpdate(failed);
 }
 
 Micros DiscoveryClient::PauseAfterFailure(const Call& long_poll) {
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -29,10 +29,10 @@
   std::uint64_t seed = 0;  // of the pauses between attempts
 };
 
-class DiscoveryClient final : public ListSource {
+class DiscoveryClient final : public EndpointSource {
  public:
   // All must outlive it.
-  DiscoveryClient(EventLoop& loop, Log& log, Gateway& dispatcher, DiscoveryOptions options);
+  DiscoveryClient(EventLoop& loop, Log& log, RequestDispatcher& dispatcher, DiscoveryOptions options);
 
   // Where lists are pushed, follows them from now on for as long as it lives; else waits for the module.
   void Start();
@@ -74,7 +74,7 @@
   Micros LongPollTime() const;
   Micros TimeoutFor(Micros wait) const;
   void OnResponse(Call& call, const http::Message& response);
-  void OnList(const Call& call, const WorkerList& list);
+  void OnList(const Call& call, const EndpointList& list);
   void OnRequestFailed(Call& call, http::RequestError error);
   void OnFailure(const Call& call, const char* why);
   void OnSilentLongPoll();
@@ -82,7 +82,7 @@
 
   EventLoop& loop_;
   Log& log_;
-  Gateway& dispatcher_;
+  RequestDispatcher& dispatcher_;
   DiscoveryOptions options_;
   std::uint64_t version_;
   bool needs_whole_list_ = false;  // the known version is not this discovery's
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -13,49 +13,49 @@
 constexpr Micros kTellEvery = 1'000'000;
 
 // The seam between the names of this code and the module's.
-sandstand::Outcome Translate(AttemptEnd end) {
+sandstand::Outcome Translate(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kAnswered:
+    case AttemptOutcome::kAnswered:
       return sandstand::Outcome::kServed;
-    case AttemptEnd::kError:
+    case AttemptOutcome::kError:
       return sandstand::Outcome::kError;
-    case AttemptEnd::kTurnedAway:
+    case AttemptOutcome::kRejected:
       return sandstand::Outcome::kFull;
-    case AttemptEnd::kTimedOut:
+    case AttemptOutcome::kTimedOut:
       return sandstand::Outcome::kTimeout;
-    case AttemptEnd::kUnreachable:
+    case AttemptOutcome::kUnreachable:
       return sandstand::Outcome::kConnectFailed;
-    case AttemptEnd::kReset:
+    case AttemptOutcome::kReset:
       return sandstand::Outcome::kReset;
-    case AttemptEnd::kGivenUp:
+    case AttemptOutcome::kCancelled:
       return sandstand::Outcome::kCancelled;
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       return sandstand::Outcome::kNotSent;
   }
   return sandstand::Outcome::kReset;
 }
 
-sandstand::ServerState Translate(WorkerState state) {
+sandstand::ServerState Translate(EndpointState state) {
   switch (state) {
-    case WorkerState::kReady:
+    case EndpointState::kReady:
       return sandstand::ServerState::kReady;
-    case WorkerState::kDraining:
+    case EndpointState::kDraining:
       return sandstand::ServerState::kDraining;
-    case WorkerState::kGone:
+    case EndpointState::kRemoved:
       break;
   }
   return sandstand::ServerState::kGone;
 }
 
-sandstand::ListUpdate::Kind Translate(WorkerList::Kind kind) {
+sandstand::ListUpdate::Kind Translate(EndpointList::Kind kind) {
   switch (kind) {
-    case WorkerList::Kind::kChanges:
+    case EndpointList::Kind::kChanges:
       return sandstand::ListUpdate::Kind::kChanges;
-    case WorkerList::Kind::kFull:
+    case EndpointList::Kind::kFull:
       return sandstand::ListUpdate::Kind::kFull;
-    case WorkerList::Kind::kCached:
+    case EndpointList::Kind::kCached:
       return sandstand::ListUpdate::Kind::kCached;
-    case WorkerList::Kind::kFailed:
+    case EndpointList::Kind::kFailed:
       break;
   }
   return sandstand::ListUpdate::Kind::kFailed;
@@ -63,22 +63,22 @@
 
 }  // namespace
 
-Gateway::Gateway(EventLoop& loop, Log& log, const sandstand::Settings& settings)
-    : loop_(loop), log_(log), balancer_(settings), wake_(loop), tell_(loop) {}
+RequestDispatcher::RequestDispatcher(EventLoop& loop, Log& log, const sandstand::Settings& settings)
+    : loop_(loop), log_(log), balancer_(settings), wake_(loop), log_counters_(loop) {}
 
-void Gateway::Connect(Workers& workers, ListSource& list) {
-  workers_ = &workers;
-  list_ = &list;
+void RequestDispatcher::Connect(UpstreamTransport& upstream, EndpointSource& endpoints) {
+  upstream_ = &upstream;
+  endpoints_ = &endpoints;
 }
 
-Tally& Gateway::tally() {
+TrafficCounters& RequestDispatcher::counters() {
   // On demand: a proxy at rest isn't woken to say that nothing passes.
-  if (!tell_.set()) tell_.Set(kTellEvery, [this] { TellTally(); });
-  return tally_;
+  if (!log_counters_.set()) log_counters_.Set(kTellEvery, [this] { LogCounters(); });
+  return counters_;
 }
 
-void Gateway::TellTally() {
-  const Tally t = std::exchange(tally_, {});
+void RequestDispatcher::LogCounters() {
+  const TrafficCounters t = std::exchange(counters_, {});
   if (t.empty()) return;
   std::string answered = "never answered";
   if (listed_at_ != 0) {
@@ -87,22 +87,22 @@
                   static_cast<double>(loop_.Now() - listed_at_) / 1e6);
     answered = text;
   }
-  auto ended = [&t](AttemptEnd end) { return t.ended[static_cast<std::size_t>(end)]; };
+  auto ended = [&t](AttemptOutcome end) { return t.ended[static_cast<std::size_t>(end)]; };
   log_.Info(
       "passed: %d in, %d served, %d refused, %d failed, %d left, %zu open; sent %d, dialled %d; ended %d ok, "
       "%d error, %d turned away, %d timed out, %d unreachable, %d reset, %d given up, %d not sent; list "
       "calls %d, failed %d, %s",
-      t.arrived, t.served, t.refused, t.failed, t.left, open_calls_, t.sent, t.dialled,
-      ended(AttemptEnd::kAnswered), ended(AttemptEnd::kError), ended(AttemptEnd::kTurnedAway),
-      ended(AttemptEnd::kTimedOut), ended(AttemptEnd::kUnreachable), ended(AttemptEnd::kReset),
-      ended(AttemptEnd::kGivenUp), ended(AttemptEnd::kNotSent), t.list_calls, t.list_failures,
+      t.arrived, t.served, t.refused, t.failed, t.left, open_requests_, t.sent, t.dialled,
+      ended(AttemptOutcome::kAnswered), ended(AttemptOutcome::kError), ended(AttemptOutcome::kRejected),
+      ended(AttemptOutcome::kTimedOut), ended(AttemptOutcome::kUnreachable), ended(AttemptOutcome::kReset),
+      ended(AttemptOutcome::kCancelled), ended(AttemptOutcome::kNotSent), t.list_calls, t.list_failures,
       answered.c_str());
-  tell_.Set(kTellEvery, [this] { TellTally(); });
+  log_counters_.Set(kTellEvery, [this] { LogCounters(); });
 }
 
 // Carrying an action out may bring the next event at once (a connection refused on the spot). Such an event
 // waits until the actions at hand are done: the module must not be entered twice, and order counts.
-void Gateway::Deliver(sandstand::Event event) {
+void RequestDispatcher::Deliver(sandstand::Event event) {
   events_.push_back(std::move(event));
   if (delivering_) return;
   delivering_ = true;
@@ -113,201 +113,201 @@
     actions.clear();
     balancer_.Handle(loop_.Now(), next, &actions);
     for (const sandstand::Action& action : actions) {
-      std::visit([this](const auto& a) { Carry(a); }, action);
+      std::visit([this](const auto& a) { Execute(a); }, action);
     }
   }
   delivering_ = false;
-  for (CallId id : std::exchange(over_, {})) ForgetIfOver(id);
+  for (RequestId id : std::exchange(over_, {})) EraseIfOver(id);
 }
 
-void Gateway::Arrive(CallId id, Arrival arrival, Caller& caller) {
-  ++tally().arrived;
-  Call& call = calls_[id];
-  call.caller = &caller;
-  call.payload = std::move(arrival.payload);
-  ++open_calls_;
+void RequestDispatcher::OnRequest(RequestId id, IncomingRequest incoming, ResponseSink& sink) {
+  ++counters().arrived;
+  Request& request = requests_[id];
+  request.sink = &sink;
+  request.payload = std::move(incoming.payload);
+  ++open_requests_;
   sandstand::RequestArrived event;
   event.id = id;
-  event.request_class = arrival.call_class;
-  event.tenant = arrival.tenant;
-  event.deadline = arrival.deadline;
-  event.answer_by = arrival.answer_by;
-  event.work_hint = arrival.work_hint.value_or(0);
-  event.has_hint = arrival.work_hint.has_value();
-  event.client_retry = arrival.client_retry;
+  event.request_class = incoming.request_class;
+  event.tenant = incoming.tenant;
+  event.deadline = incoming.deadline;
+  event.answer_by = incoming.answer_by;
+  event.work_hint = incoming.work_hint.value_or(0);
+  event.has_hint = incoming.work_hint.has_value();
+  event.client_retry = incoming.client_retry;
   Deliver(event);
 }
 
-// Ends a call towards its caller; null if that has been done before.
-Caller* Gateway::Close(CallId id) {
-  auto it = calls_.find(id);
-  if (it == calls_.end() || it->second.caller == nullptr) return nullptr;
-  --open_calls_;
-  return std::exchange(it->second.caller, nullptr);
+// Ends a call towards its sink; null if that has been done before.
+ResponseSink* RequestDispatcher::CloseRequest(RequestId id) {
+  auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.sink == nullptr) return nullptr;
+  --open_requests_;
+  return std::exchange(it->second.sink, nullptr);
 }
 
 // Guards against an action for a call that went while its event still waited: the module, not yet told, may
 // send it once more and is owed an outcome with the right number.
-void Gateway::ForgetIfOver(CallId id) {
+void RequestDispatcher::EraseIfOver(RequestId id) {
   if (delivering_) {
     over_.push_back(id);
     return;
   }
-  auto it = calls_.find(id);
-  if (it != calls_.end() && it->second.caller == nullptr && it->second.out == 0) calls_.erase(it);
+  auto it = requests_.find(id);
+  if (it != requests_.end() && it->second.sink == nullptr && it->second.out == 0) requests_.erase(it);
 }
 
-void Gateway::Left(CallId id) {
-  if (Close(id) == nullptr) return;
-  ++tally().left;
+void RequestDispatcher::OnClientDisconnected(RequestId id) {
+  if (CloseRequest(id) == nullptr) return;
+  ++counters().left;
   Deliver(sandstand::ClientLeft{id});
-  Withdraw(id);
-  ForgetIfOver(id);
+  RevokeUnsentAttempts(id);
+  EraseIfOver(id);
 }
 
 // What has been sent may have run, and its client must not take it for refused.
-void Gateway::EndOpenCalls() {
-  std::vector<CallId> open;
-  for (const auto& [id, call] : calls_) {
-    if (call.caller != nullptr) open.push_back(id);
+void RequestDispatcher::EndOpenRequests() {
+  std::vector<RequestId> open;
+  for (const auto& [id, request] : requests_) {
+    if (request.sink != nullptr) open.push_back(id);
   }
-  for (CallId id : open) {
-    auto it = calls_.find(id);
-    bool sent = it != calls_.end() && !it->second.attempts.empty();
-    Caller* caller = Close(id);
-    if (caller == nullptr) continue;
-    ++(sent ? tally().failed : tally().refused);
-    sent ? caller->Failed() : caller->Rejected(0);
+  for (RequestId id : open) {
+    auto it = requests_.find(id);
+    bool sent = it != requests_.end() && !it->second.attempts.empty();
+    ResponseSink* sink = CloseRequest(id);
+    if (sink == nullptr) continue;
+    ++(sent ? counters().failed : counters().refused);
+    sent ? sink->OnFailed() : sink->OnRejected(0);
     Deliver(sandstand::ClientLeft{id});
-    Withdraw(id);
-    ForgetIfOver(id);
+    RevokeUnsentAttempts(id);
+    EraseIfOver(id);
   }
 }
 
 // Guards against sending on for nobody: the module calls off only what the settings let it, but what is not
 // written whole has not been sent at all.
-void Gateway::Withdraw(CallId id) {
-  auto it = calls_.find(id);
-  if (it == calls_.end()) return;
+void RequestDispatcher::RevokeUnsentAttempts(RequestId id) {
+  auto it = requests_.find(id);
+  if (it == requests_.end()) return;
   std::vector<AttemptKey> out;
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i) {
     if (it->second.attempts[i].out) out.push_back({id, static_cast<int>(i)});
   }
-  for (const AttemptKey& key : out) TakeBack(key);
+  for (const AttemptKey& key : out) RevokeUnsentAttempt(key);
 }
 
 // Guards against what becomes due while its bytes can't leave yet: a connection that comes up late, a process
 // that stood still. The client's end may lie in the kernel behind what this round still handles.
-bool Gateway::MayWrite(AttemptKey key) {
-  auto it = calls_.find(key.call);
+bool RequestDispatcher::MayWrite(AttemptKey key) {
+  auto it = requests_.find(key.request);
   // Not one of ours: nothing here speaks against it.
-  if (it == calls_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return true;
-  Call& call = it->second;
-  if (call.caller != nullptr && call.caller->Gone()) Left(key.call);
+  if (it == requests_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return true;
+  Request& request = it->second;
+  if (request.sink != nullptr && request.sink->ClientHasLeft()) OnClientDisconnected(key.request);
   // Left forgets the call if nothing of it is out any more.
-  it = calls_.find(key.call);
-  if (it == calls_.end()) return false;
-  const Sent& sent = it->second.attempts[static_cast<std::size_t>(key.number)];
+  it = requests_.find(key.request);
+  if (it == requests_.end()) return false;
+  const SentAttempt& sent = it->second.attempts[static_cast<std::size_t>(key.number)];
   if (!sent.out) return false;
   if (loop_.Now() < sent.write_by) return true;
-  TakeBack(key);
+  RevokeUnsentAttempt(key);
   return false;
 }
 
 // Gives up what has not been written whole: it never runs.
-void Gateway::TakeBack(AttemptKey key) {
-  if (workers_->Withdraw(key)) Ended(key, AttemptEnd::kNotSent, nullptr);
+void RequestDispatcher::RevokeUnsentAttempt(AttemptKey key) {
+  if (upstream_->RevokeUnsent(key)) OnAttemptEnded(key, AttemptOutcome::kNotSent, nullptr);
 }
 
-void Gateway::Ended(AttemptKey key, AttemptEnd end, PayloadRef answer) {
-  auto it = calls_.find(key.call);
-  if (it == calls_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return;
-  Sent& sent = it->second.attempts[static_cast<std::size_t>(key.number)];
+void RequestDispatcher::OnAttemptEnded(AttemptKey key, AttemptOutcome outcome, PayloadRef response) {
+  auto it = requests_.find(key.request);
+  if (it == requests_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return;
+  SentAttempt& sent = it->second.attempts[static_cast<std::size_t>(key.number)];
   // Guards against a second outcome of one attempt: the module is owed exactly one.
   if (!sent.out) return;
   sent.out = false;
-  sent.limit.reset();
+  sent.timeout.reset();
   sent.unwritten.reset();
   --it->second.out;
-  ++tally().ended[static_cast<std::size_t>(end)];
+  ++counters().ended[static_cast<std::size_t>(outcome)];
   // The first answer of a worker is the call's; a later one comes to nobody.
-  Caller* caller = end == AttemptEnd::kAnswered ? Close(key.call) : nullptr;
+  ResponseSink* sink = outcome == AttemptOutcome::kAnswered ? CloseRequest(key.request) : nullptr;
   sandstand::AttemptEnded event;
-  event.id = key.call;
+  event.id = key.request;
   event.attempt = key.number;
-  event.outcome = Translate(end);
+  event.outcome = Translate(outcome);
   event.latency = std::max<Micros>(0, loop_.Now() - sent.at);
-  event.request_finished = it->second.caller == nullptr;
-  if (caller != nullptr) {
-    ++tally().served;
-    caller->Served(std::move(answer));
+  event.request_finished = it->second.sink == nullptr;
+  if (sink != nullptr) {
+    ++counters().served;
+    sink->OnResponse(std::move(response));
   }
   Deliver(std::move(event));
-  if (caller != nullptr) Withdraw(key.call);
-  ForgetIfOver(key.call);
+  if (sink != nullptr) RevokeUnsentAttempts(key.request);
+  EraseIfOver(key.request);
 }
 
-void Gateway::Learn(const WorkerList& list) {
-  bool told = list.kind == WorkerList::Kind::kFull || list.kind == WorkerList::Kind::kChanges;
+void RequestDispatcher::OnEndpointUpdate(const EndpointList& list) {
+  bool told = list.kind == EndpointList::Kind::kFull || list.kind == EndpointList::Kind::kChanges;
   // Guards against the module placing every worker anew, each second, for a watch that had nothing to tell.
   // The first answer always counts: from it the module knows that it is subscribed.
-  bool news = listed_at_ == 0 || list.kind != WorkerList::Kind::kChanges || !list.entries.empty();
+  bool news = listed_at_ == 0 || list.kind != EndpointList::Kind::kChanges || !list.entries.empty();
   if (told) listed_at_ = loop_.Now();
-  if (news) Apply(list);
+  if (news) ApplyEndpoints(list);
 }
 
-bool Gateway::Drain(const std::string& uid) {
+bool RequestDispatcher::Drain(const std::string& uid) {
   if (ever_listed_.count(uid) == 0) return false;
   if (drains_.Drain(uid)) {
     log_.Info("worker %s is drained by the operators until they undrain it", uid.c_str());
-    Relist(uid);
+    ReapplyEndpoint(uid);
   }
   return true;
 }
 
-bool Gateway::Undrain(const std::string& uid) {
+bool RequestDispatcher::Undrain(const std::string& uid) {
   if (ever_listed_.count(uid) == 0) return false;
   if (drains_.Undrain(uid, ToTimePoint(loop_.Now()))) {
     log_.Info("worker %s is undrained by the operators: slow start from now", uid.c_str());
-    Relist(uid);
+    ReapplyEndpoint(uid);
   }
   return true;
 }
 
 // The module hears of the worker again as discovery last listed it, with what the operators said on top.
-void Gateway::Relist(const std::string& uid) {
-  auto it = workers_by_uid_.find(uid);
-  if (it == workers_by_uid_.end()) return;
-  WorkerList one;
-  one.kind = WorkerList::Kind::kChanges;
+void RequestDispatcher::ReapplyEndpoint(const std::string& uid) {
+  auto it = servers_by_uid_.find(uid);
+  if (it == servers_by_uid_.end()) return;
+  EndpointList one;
+  one.kind = EndpointList::Kind::kChanges;
   one.entries.push_back(it->second.last);
-  Apply(one);
+  ApplyEndpoints(one);
 }
 
-void Gateway::Apply(const WorkerList& list) {
+void RequestDispatcher::ApplyEndpoints(const EndpointList& list) {
   sandstand::ListUpdate event;
   event.kind = Translate(list.kind);
   std::set<std::string> named;
-  std::vector<WorkerId> draining, gone;
-  for (const WorkerEntry& listed : list.entries) {
-    auto [it, fresh] = workers_by_uid_.try_emplace(listed.uid);
-    Known& known = it->second;
-    if (fresh) known.id = ++worker_ids_;
+  std::vector<ServerId> draining, gone;
+  for (const EndpointEntry& listed : list.entries) {
+    auto [it, fresh] = servers_by_uid_.try_emplace(listed.uid);
+    KnownServer& known = it->second;
+    if (fresh) known.id = ++last_server_id_;
     known.last = listed;
     ever_listed_.insert(listed.uid);
-    WorkerEntry entry = listed;
-    if (entry.state != WorkerState::kGone && drains_.IsDrained(entry.uid))
-      entry.state = WorkerState::kDraining;
+    EndpointEntry entry = listed;
+    if (entry.state != EndpointState::kRemoved && drains_.IsDrained(entry.uid))
+      entry.state = EndpointState::kDraining;
     entry.boot_unix = ToMicros(drains_.EffectiveStart(entry.uid, ToTimePoint(entry.boot_unix)));
-    if (entry.state != WorkerState::kGone && !(known.endpoint == entry.endpoint)) {
+    if (entry.state != EndpointState::kRemoved && !(known.endpoint == entry.endpoint)) {
       std::uint32_t a = entry.endpoint.address;
       log_.Info("worker %u is %s at %u.%u.%u.%u:%u", known.id, entry.uid.c_str(), a >> 24, a >> 16 & 255,
                 a >> 8 & 255, a & 255, entry.endpoint.port);
       known.endpoint = entry.endpoint;
     }
     named.insert(entry.uid);
-    if (entry.state != WorkerState::kGone) workers_->Locate(known.id, entry.endpoint);
-    if (entry.state == WorkerState::kDraining) draining.push_back(known.id);
+    if (entry.state != EndpointState::kRemoved) upstream_->SetEndpoint(known.id, entry.endpoint);
+    if (entry.state == EndpointState::kDraining) draining.push_back(known.id);
     sandstand::ServerEntry server;
     server.id = known.id;
     server.zone = entry.zone;
@@ -319,13 +319,13 @@
     // with each list, never seems to change: to the module that would be a restart.
     server.started_at = entry.boot_unix;
     event.entries.push_back(server);
-    if (entry.state != WorkerState::kGone) continue;
+    if (entry.state != EndpointState::kRemoved) continue;
     gone.push_back(known.id);
-    workers_by_uid_.erase(it);
+    servers_by_uid_.erase(it);
   }
   // Guards against tables that grow for as long as workers are replaced: who is gone is forgotten.
-  if (list.kind == WorkerList::Kind::kFull || list.kind == WorkerList::Kind::kCached) {
-    std::erase_if(workers_by_uid_, [&](const auto& known) {
+  if (list.kind == EndpointList::Kind::kFull || list.kind == EndpointList::Kind::kCached) {
+    std::erase_if(servers_by_uid_, [&](const auto& known) {
       bool absent = named.count(known.first) == 0;
       if (absent) gone.push_back(known.second.id);
       return absent;
@@ -333,74 +333,76 @@
   }
   // The module hears first: what is called off below must not be sent to another that is leaving too.
   Deliver(std::move(event));
-  for (WorkerId id : draining) workers_->Release(id);
-  for (WorkerId id : gone) workers_->Forget(id);
+  for (ServerId id : draining) upstream_->StopUsing(id);
+  for (ServerId id : gone) upstream_->Remove(id);
 }
 
 // ---- Actions ----
 
-void Gateway::Carry(const sandstand::Send& action) {
-  auto it = calls_.find(action.id);
-  if (it == calls_.end()) return;
-  Call& call = it->second;
-  AttemptKey key{action.id, static_cast<int>(call.attempts.size())};
-  Sent& sent = call.attempts.emplace_back();
-  ++call.out;
-  ++tally().sent;
+void RequestDispatcher::Execute(const sandstand::Send& action) {
+  auto it = requests_.find(action.id);
+  if (it == requests_.end()) return;
+  Request& request = it->second;
+  AttemptKey key{action.id, static_cast<int>(request.attempts.size())};
+  SentAttempt& sent = request.attempts.emplace_back();
+  ++request.out;
+  ++counters().sent;
   sent.at = loop_.Now();
-  if (call.caller == nullptr) return Ended(key, AttemptEnd::kNotSent, nullptr);
-  if (action.timeout <= 0) return Ended(key, AttemptEnd::kTimedOut, nullptr);
-  sent.limit = std::make_unique<Timer>(loop_);
-  sent.limit->Set(action.timeout, [this, key] {
-    workers_->GiveUp(key);
-    Ended(key, AttemptEnd::kTimedOut, nullptr);
+  if (request.sink == nullptr) return OnAttemptEnded(key, AttemptOutcome::kNotSent, nullptr);
+  if (action.timeout <= 0) return OnAttemptEnded(key, AttemptOutcome::kTimedOut, nullptr);
+  sent.timeout = std::make_unique<Timer>(loop_);
+  sent.timeout->Set(action.timeout, [this, key] {
+    upstream_->Cancel(key);
+    OnAttemptEnded(key, AttemptOutcome::kTimedOut, nullptr);
   });
   sent.write_by = sent.at + action.write_within;
   if (action.write_within < action.timeout) {
     sent.unwritten = std::make_unique<Timer>(loop_);
-    sent.unwritten->Set(action.write_within, [this, key] { TakeBack(key); });
+    sent.unwritten->Set(action.write_within, [this, key] { RevokeUnsentAttempt(key); });
   }
-  workers_->Start({key, action.server, action.timeout, call.payload});
+  upstream_->Start({key, action.server, action.timeout, request.payload});
 }
 
-void Gateway::Carry(const sandstand::Refuse& action) {
-  Caller* caller = Close(action.id);
-  if (caller != nullptr) {
-    ++tally().refused;
-    caller->Rejected(action.retry_after);
+void RequestDispatcher::Execute(const sandstand::Refuse& action) {
+  ResponseSink* sink = CloseRequest(action.id);
+  if (sink != nullptr) {
+    ++counters().refused;
+    sink->OnRejected(action.retry_after);
   }
-  ForgetIfOver(action.id);
+  EraseIfOver(action.id);
 }
 
-void Gateway::Carry(const sandstand::Fail& action) {
-  Caller* caller = Close(action.id);
-  if (caller != nullptr) {
-    ++tally().failed;
-    caller->Failed();
+void RequestDispatcher::Execute(const sandstand::Fail& action) {
+  ResponseSink* sink = CloseRequest(action.id);
+  if (sink != nullptr) {
+    ++counters().failed;
+    sink->OnFailed();
   }
-  ForgetIfOver(action.id);
+  EraseIfOver(action.id);
 }
 
-void Gateway::Carry(const sandstand::Cancel& action) {
+void RequestDispatcher::Execute(const sandstand::Cancel& action) {
   AttemptKey key{action.id, action.attempt};
-  auto it = calls_.find(action.id);
-  if (it == calls_.end() || action.attempt < 0 ||
+  auto it = requests_.find(action.id);
+  if (it == requests_.end() || action.attempt < 0 ||
       action.attempt >= static_cast<int>(it->second.attempts.size()) ||
       !it->second.attempts[static_cast<std::size_t>(action.attempt)].out) {
     return;  // it ended while this action was on its way
   }
-  workers_->GiveUp(key);
-  Ended(key, AttemptEnd::kGivenUp, nullptr);
+  upstream_->Cancel(key);
+  OnAttemptEnded(key, AttemptOutcome::kCancelled, nullptr);
 }
 
 // Each request for a wake-up replaces the one before it, also when the earlier one is due and has not run
 // yet: an event that is handled after its due time runs the module's alarms and asks for the next of them.
-void Gateway::Carry(const sandstand::WakeAfter& action) {
+void RequestDispatcher::Execute(const sandstand::WakeAfter& action) {
   wake_.Set(action.delay, [this] { Deliver(sandstand::TimerFired{}); });
 }
 
-void Gateway::Carry(const sandstand::Watch&) { list_->Watch(); }
-void Gateway::Carry(const sandstand::FetchList&) { list_->Fetch(); }
-void Gateway::Carry(const sandstand::Log& action) { log_.Info("module: %s", action.text.c_str()); }
+void RequestDispatcher::Execute(const sandstand::Watch&) { endpoints_->Watch(); }
+void RequestDispatcher::Execute(const sandstand::FetchList&) { endpoints_->Fetch(); }
+void RequestDispatcher::Execute(const sandstand::Log& action) {
+  log_.Info("module: %s", action.text.c_str());
+}
 
 }  // namespace dappletiller
--- a/src/dispatch/request_dispatcher.hpp
+++ b/src/dispatch/request_dispatcher.hpp
@@ -1,5 +1,9 @@
-// Owns the decision module and the table of calls and attempts. It turns neutral arrivals and outcomes
-// into the module's events and carries its actions out. It decides nothing and knows no protocol.
+// The request table: owns the decision module, every request and every attempt.
+//
+// It turns what happens (a request, an attempt's outcome, a list) into the module's events, and executes the
+// module's actions. It decides nothing and knows no protocol. What always holds: a request has one final
+// outcome, given to its ResponseSink once, and the module is told exactly one outcome of each attempt. Lives
+// on the event loop.
 #ifndef DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
 #define DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
 
@@ -21,35 +25,39 @@
 
 namespace dappletiller {
 
-class Gateway {
+class RequestDispatcher {
  public:
   // Throws std::invalid_argument for settings that the module can't work with.
-  Gateway(EventLoop& loop, Log& log, const sandstand::Settings& settings);
-  void Connect(Workers& workers, ListSource& list);
+  RequestDispatcher(EventLoop& loop, Log& log, const sandstand::Settings& settings);
+  // To be called once, before anything else. Both must outlive it.
+  void Connect(UpstreamTransport& upstream, EndpointSource& endpoints);
 
-  // From the acceptor's side. The caller is told the final answer once, unless it says Left first; that may
-  // happen before Arrive returns.
-  CallId NewCall() { return ++calls_begun_; }
-  void Arrive(CallId id, Arrival arrival, Caller& caller);
-  void Left(CallId id);
-  // Gives every open call its final answer now: the process ends before their deadlines.
-  void EndOpenCalls();
-  // From the workers' side: bytes of an attempt are about to be handed to the kernel. False: none may, since
-  // its client has gone or its time to be written is over; the attempt has then been given up and ended.
+  // From the listener. The sink is given the final outcome once, unless OnClientDisconnected comes first;
+  // that may happen before OnRequest returns.
+  RequestId NewRequestId() { return ++last_request_id_; }
+  void OnRequest(RequestId id, IncomingRequest incoming, ResponseSink& sink);
+  void OnClientDisconnected(RequestId id);
+  // Gives every open request its final outcome now: the process ends before their deadlines.
+  void EndOpenRequests();
+  // From the upstream transport: bytes of an attempt are about to be handed to the kernel. False: none may,
+  // since its client has left or its time to be written is over; the attempt has then been cancelled and
+  // ended.
   bool MayWrite(AttemptKey key);
-  // From the workers' side: how an attempt ended; unknown ones are ignored.
-  void Ended(AttemptKey key, AttemptEnd end, PayloadRef answer);
+  // From the upstream transport: how an attempt ended; unknown ones are ignored.
+  void OnAttemptEnded(AttemptKey key, AttemptOutcome outcome, PayloadRef response);
   // From discovery.
-  void Learn(const WorkerList& list);
-  // From the parts of the fleet: how much of what all proxies share is this one's, until when.
-  void Grant(double part, Micros until) { Deliver(sandstand::PartGranted{part, until}); }
-  // From the settings feed: the share of the tenant at this place (the acceptor's NameTenant) from now on, or
-  // that the place is free.
-  void SetTenant(int place, bool named, const sandstand::TenantSettings& share) {
-    Deliver(sandstand::TenantChanged{place, named, share});
+  void OnEndpointUpdate(const EndpointList& list);
+  // From the quota leases: how much of what all proxies share this one may use, until when.
+  void SetQuotaShare(double share, Micros valid_until) {
+    Deliver(sandstand::PartGranted{share, valid_until});
   }
-  // From the operators: a worker that counts as draining from now on, whatever discovery lists, and its
-  // return, cold. False: discovery never named it. Repeating either is harmless.
+  // From the configuration feed: the settings of the tenant with this index (the listener's NameTenant) from
+  // now on, or that the index is free.
+  void SetTenant(int index, bool named, const sandstand::TenantSettings& tenant) {
+    Deliver(sandstand::TenantChanged{index, named, tenant});
+  }
+  // From the operators: a server that counts as draining from now on, whatever discovery lists, and its
+  // return through slow start. False: discovery never named it. Repeating either is harmless.
   bool Drain(const std::string& uid);
   bool Undrain(const std::string& uid);
   // To hand to a successor, and as a predecessor handed them on.
@@ -57,65 +65,65 @@
   void RestoreDrains(drain::AdministrativeDrains drains) { drains_ = std::move(drains); }
 
   // Counts for the line that is logged once a second while anything passes; other parts add theirs.
-  Tally& tally();
+  TrafficCounters& counters();
 
-  std::size_t open_calls() const { return open_calls_; }
-  std::size_t table_size() const { return calls_.size(); }
-  std::size_t workers_known() const { return workers_by_uid_.size(); }
+  std::size_t open_requests() const { return open_requests_; }
+  std::size_t table_size() const { return requests_.size(); }
+  std::size_t known_servers() const { return servers_by_uid_.size(); }
 
  private:
-  struct Sent {
+  struct SentAttempt {
     bool out = true;
     Micros at = 0;
-    Micros write_by = 0;  // not written whole by then, it is taken back
-    std::unique_ptr<Timer> limit;
+    Micros write_by = 0;  // not written whole by then, it is revoked
+    std::unique_ptr<Timer> timeout;
     std::unique_ptr<Timer> unwritten;  // until write_by, if that comes before the limit
   };
-  struct Call {
-    Caller* caller = nullptr;  // null once it has its answer or has left
+  struct Request {
+    ResponseSink* sink = nullptr;  // null once it has its answer or has left
     PayloadRef payload;
-    std::vector<Sent> attempts;
-    int out = 0;
+    std::vector<SentAttempt> attempts;
+    int out = 0;  // attempts that have not ended
   };
-  struct Known {
-    WorkerId id = 0;
+  struct KnownServer {
+    ServerId id = 0;
     Endpoint endpoint;
-    WorkerEntry last;  // as discovery last listed it
+    EndpointEntry last;  // as discovery last listed it
   };
 
   void Deliver(sandstand::Event event);
-  void Apply(const WorkerList& list);
-  void Relist(const std::string& uid);
-  void Carry(const sandstand::Send& action);
-  void Carry(const sandstand::Refuse& action);
-  void Carry(const sandstand::Fail& action);
-  void Carry(const sandstand::Cancel& action);
-  void Carry(const sandstand::WakeAfter& action);
-  void Carry(const sandstand::Watch& action);
-  void Carry(const sandstand::FetchList& action);
-  void Carry(const sandstand::Log& action);
-  Caller* Close(CallId id);
-  void Withdraw(CallId id);
-  void TakeBack(AttemptKey key);
-  void ForgetIfOver(CallId id);
-  void TellTally();
+  void ApplyEndpoints(const EndpointList& list);
+  void ReapplyEndpoint(const std::string& uid);
+  void Execute(const sandstand::Send& action);
+  void Execute(const sandstand::Refuse& action);
+  void Execute(const sandstand::Fail& action);
+  void Execute(const sandstand::Cancel& action);
+  void Execute(const sandstand::WakeAfter& action);
+  void Execute(const sandstand::Watch& action);
+  void Execute(const sandstand::FetchList& action);
+  void Execute(const sandstand::Log& action);
+  ResponseSink* CloseRequest(RequestId id);
+  void RevokeUnsentAttempts(RequestId id);
+  void RevokeUnsentAttempt(AttemptKey key);
+  void EraseIfOver(RequestId id);
+  void LogCounters();
 
   EventLoop& loop_;
   Log& log_;
   sandstand::Balancer balancer_;
-  Workers* workers_ = nullptr;
-  ListSource* list_ = nullptr;
-  std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, Known> workers_by_uid_;
-  CallId calls_begun_ = 0;
-  WorkerId worker_ids_ = 0;
-  std::size_t open_calls_ = 0;
+  UpstreamTransport* upstream_ = nullptr;
+  EndpointSource* endpoints_ = nullptr;
+  std::unordered_map<RequestId, Request> requests_;
+  std::unordered_map<std::string, KnownServer> servers_by_uid_;
+  RequestId last_request_id_ = 0;
+  ServerId last_server_id_ = 0;
+  std::size_t open_requests_ = 0;
   std::deque<sandstand::Event> events_;
   bool delivering_ = false;
-  std::vector<CallId> over_;  // to be forgotten once all events are delivered
+  std::vector<RequestId> over_;  // to be erased once all events are delivered
   Timer wake_;
-  Tally tally_;
-  Timer tell_;
+  TrafficCounters counters_;
+  Timer log_counters_;
   drain::AdministrativeDrains drains_;
   std::set<std::string> ever_listed_;  // bounded by the uids that discovery ever gave
   Micros listed_at_ = 0;               // when discovery last answered; 0: never
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -44,21 +44,21 @@
 }  // namespace
 
 // One client's connection, one call at a time.
-class Acceptor::Conn final : public StreamSocket::Callbacks, public Caller {
+class DownstreamListener::Conn final : public StreamSocket::Callbacks, public ResponseSink {
  public:
-  Conn(Acceptor& acceptor, limits::ClientRoom::Id id)
-      : socket(acceptor.loop_, *this),
+  Conn(DownstreamListener& listener, limits::ClientRoom::Id id)
+      : socket(listener.loop_, *this),
         id(id),
-        acceptor_(acceptor),
-        parser_(http::Parser::Kind::kRequest, http::kMaxBodySize, acceptor.options_.long_bodies),
-        timer_(acceptor.loop_),
-        connected_at_(acceptor.loop_.Now()) {}
+        listener_(listener),
+        parser_(http::Parser::Kind::kRequest, http::kMaxBodySize, listener.options_.long_bodies),
+        timer_(listener.loop_),
+        connected_at_(listener.loop_.Now()) {}
 
   // Until a request is whole. No byte but its first starts the time anew, and on a new connection not even
   // that one: guards against clients that hold a connection by saying nothing, or little at a time.
   void Begin() {
     if (parser_.begun()) {
-      Micros left = fresh_ ? connected_at_ + kHeadTime - acceptor_.loop_.Now() : kHeadTime;
+      Micros left = fresh_ ? connected_at_ + kHeadTime - listener_.loop_.Now() : kHeadTime;
       timer_.Set(left, [this] { Reject(408, "the request took too long to arrive"); });
     } else {
       EndUnlessTaken(kIdleTime);
@@ -73,14 +73,14 @@
   bool Leave() {
     if (!socket.open() || !(idle() || state_ == State::kClosing)) return false;
     if (state_ != State::kClosing && socket.IsStale()) return false;
-    acceptor_.Drop(*this);
+    listener_.Drop(*this);
     return true;
   }
 
   // One that has just connected is given the time for its first request to come: on its way, that request
   // would meet a closed connection.
   void LeaveUnlessNew() {
-    Micros left = fresh_ ? connected_at_ + kFirstRequest - acceptor_.loop_.Now() : 0;
+    Micros left = fresh_ ? connected_at_ + kFirstRequest - listener_.loop_.Now() : 0;
     if (left <= 0) {
       Leave();
     } else {
@@ -92,7 +92,7 @@
   // left must not be sent on. What the parser can't take goes through a buffer that all clients share.
   std::span<char> ReceiveBuffer() override {
     std::span<char> room = state_ == State::kClosing || spilt_ ? std::span<char>() : parser_.ReceiveBuffer();
-    return room.empty() ? std::span<char>(acceptor_.waste_) : room;
+    return room.empty() ? std::span<char>(listener_.waste_) : room;
   }
 
   void OnReceived(std::size_t n) override {
@@ -100,11 +100,11 @@
     if (parser_.done() || parser_.bad() || spilt_) return Ahead(n);
     bool fresh = !parser_.begun();
     parser_.Commit(n);
-    Micros now = acceptor_.loop_.Now();
+    Micros now = listener_.loop_.Now();
     if (state_ != State::kReading) return received_.Add(n, parser_.held(), now);
     received_.Restart(parser_.held(), now);
     if (fresh) {
-      acceptor_.room_.Receiving(id);
+      listener_.room_.Receiving(id);
       Begin();
     }
     Look();
@@ -115,8 +115,8 @@
     if (!keep_) {
       state_ = State::kClosing;
       socket.ShutdownWrite();
-      acceptor_.room_.ToldToGo(id);
-      EndUnlessTaken(acceptor_.options_.linger_for);
+      listener_.room_.ToldToGo(id);
+      EndUnlessTaken(listener_.options_.linger_for);
       socket.ResumeReading();
       return;
     }
@@ -125,25 +125,25 @@
     Look();
     socket.ResumeReading();
     if (!socket.open() || !idle()) return;
-    acceptor_.room_.Rested(id);
-    if (acceptor_.closed_) {
+    listener_.room_.Rested(id);
+    if (listener_.closed_) {
       Leave();
     } else {
-      acceptor_.Trim();
+      listener_.Trim();
     }
   }
 
-  void OnClosed(StreamEnd) override { acceptor_.Drop(*this); }
+  void OnClosed(StreamEnd) override { listener_.Drop(*this); }
 
-  void Served(PayloadRef answer) override {
+  void OnResponse(PayloadRef answer) override {
     auto message = std::static_pointer_cast<const http::Message>(std::move(answer));
     Answering();
     http::WriteResponse(message, keep_, &socket.output());
     WriteOut();
   }
-  void Rejected(Micros retry_after) override { Say(503, "overloaded, try again later", retry_after); }
-  void Failed() override { Say(502, "no worker answered", 0); }
-  bool Gone() const override { return socket.PeerHasClosed(); }
+  void OnRejected(Micros retry_after) override { Say(503, "overloaded, try again later", retry_after); }
+  void OnFailed() override { Say(502, "no worker answered", 0); }
+  bool ClientHasLeft() const override { return socket.PeerHasClosed(); }
 
   // A client that goes while its call is open has left it.
   void End() {
@@ -151,7 +151,7 @@
     socket.Close();
     if (std::exchange(state_, State::kClosing) != State::kWaiting) return;
     CloseCall();
-    acceptor_.gateway_.Left(call_);
+    listener_.dispatcher_.OnClientDisconnected(call_);
   }
 
   StreamSocket socket;
@@ -166,8 +166,8 @@
     if (parser_.bad() || spilt_) return;
     spilt_ = parser_.held() + n > kAheadLimit;
     if (spilt_) return;
-    parser_.Feed({acceptor_.waste_.data(), n});
-    received_.Add(n, parser_.held(), acceptor_.loop_.Now());
+    parser_.Feed({listener_.waste_.data(), n});
+    received_.Add(n, parser_.held(), listener_.loop_.Now());
   }
 
   void Look() {
@@ -189,10 +189,10 @@
     keep_ = request->keep_alive();
     fresh_ = false;
     if (request->path() == "/up") {
-      acceptor_.room_.Probed(id);
+      listener_.room_.Probed(id);
       // With a socket of the platform's, a successor takes the clients when this process leaves: the
       // proxy is still up.
-      bool up = !acceptor_.lameduck_ && !(acceptor_.draining_ && !acceptor_.inherited_);
+      bool up = !listener_.lameduck_ && !(listener_.draining_ && !listener_.inherited_);
       return Say(up ? 200 : 503, up ? "up" : "leaving", 0);
     }
     Call(std::move(request));
@@ -206,13 +206,13 @@
     for (std::string_view name : kOnce) {
       if (request->Count(name) > 1) return Reject(400, "a header that must stand once is doubled");
     }
-    auto known = acceptor_.class_of_.find(std::string(request->Find("Request-Class").value_or("")));
-    if (known == acceptor_.class_of_.end()) return Reject(400, "Request-Class is missing or unknown");
+    auto known = listener_.class_of_.find(std::string(request->Find("Request-Class").value_or("")));
+    if (known == listener_.class_of_.end()) return Reject(400, "Request-Class is missing or unknown");
     request_id_ = request->Find("Request-Id").value_or("");
     if (request_id_.empty()) return Reject(400, "Request-Id is missing");
     auto place = static_cast<std::size_t>(known->second);
-    // Workers turn away what doesn't fit together, and that would look like a fault of theirs.
-    sandstand::Effect effect = acceptor_.options_.effects[place];
+    // UpstreamTransport turn away what doesn't fit together, and that would look like a fault of theirs.
+    sandstand::Effect effect = listener_.options_.effects[place];
     bool safe = effect == sandstand::Effect::kSafe;
     bool keyed = !request->Find("Idempotency-Key").value_or("").empty();
     if ((request->method() == "GET") != safe || keyed != (effect == sandstand::Effect::kKeyed) ||
@@ -220,13 +220,13 @@
       return Reject(400, "method, key or body do not go with the class");
     }
     // Guards against a second call under one id: both would be one request to a worker.
-    if (!acceptor_.open_ids_.insert(request_id_).second)
+    if (!listener_.open_ids_.insert(request_id_).second)
       return Reject(409, "a call with this Request-Id is open");
-    Arrival arrival;
-    arrival.call_class = acceptor_.options_.decided_as[place];
-    auto tenant = acceptor_.tenant_of_.find(std::string(request->Find("Tenant").value_or("")));
-    if (tenant != acceptor_.tenant_of_.end()) arrival.tenant = tenant->second;
-    Micros patience = acceptor_.options_.patience[place];
+    IncomingRequest arrival;
+    arrival.request_class = listener_.options_.decided_as[place];
+    auto tenant = listener_.tenant_of_.find(std::string(request->Find("Tenant").value_or("")));
+    if (tenant != listener_.tenant_of_.end()) arrival.tenant = tenant->second;
+    Micros patience = listener_.options_.patience[place];
     Micros most_hint = kHintTimes * patience;
     if (auto stated = request->Find("Request-Timeout")) {
       auto span = http::ParseTimeout(*stated);
@@ -235,7 +235,7 @@
     }
     // A request's time runs from its last byte, however slowly it came and whatever it waited behind.
     arrival.deadline = last_byte_at_ + patience;
-    arrival.answer_by = acceptor_.answer_by_;
+    arrival.answer_by = listener_.answer_by_;
     if (auto hint = request->Find("Work-Hint")) {
       Micros work = 0;
       auto [end, failed] = std::from_chars(hint->data(), hint->data() + hint->size(), work);
@@ -247,18 +247,18 @@
     arrival.payload = std::move(request);
     state_ = State::kWaiting;
     timer_.Clear();
-    call_ = acceptor_.gateway_.NewCall();
-    acceptor_.room_.Called(id);
-    acceptor_.Trim();
-    acceptor_.gateway_.Arrive(call_, std::move(arrival), *this);
+    call_ = listener_.dispatcher_.NewRequestId();
+    listener_.room_.Called(id);
+    listener_.Trim();
+    listener_.dispatcher_.OnRequest(call_, std::move(arrival), *this);
   }
 
-  void CloseCall() { acceptor_.open_ids_.erase(request_id_); }
+  void CloseCall() { listener_.open_ids_.erase(request_id_); }
 
   void Answering() {
     if (state_ == State::kWaiting) CloseCall();
     state_ = State::kWriting;
-    bool last = acceptor_.draining_ || acceptor_.lameduck_ || acceptor_.room_.LastAnswer(id);
+    bool last = listener_.draining_ || listener_.lameduck_ || listener_.room_.LastAnswer(id);
     if (last && !NextIsHere()) keep_ = false;
   }
 
@@ -267,7 +267,7 @@
   bool NextIsHere() { return parser_.begun() || socket.IsStale(); }
 
   void WriteOut() {
-    EndUnlessTaken(acceptor_.options_.write_for);
+    EndUnlessTaken(listener_.options_.write_for);
     socket.Flush();
   }
 
@@ -280,7 +280,7 @@
     timer_.Set(span, [this, span, before] {
       std::size_t left = socket.UnacknowledgedBytes();
       if (left > 0 && left < before) return EndUnlessTaken(span);
-      if (state_ == State::kWriting) return acceptor_.Drop(*this);
+      if (state_ == State::kWriting) return listener_.Drop(*this);
       Leave();
     });
   }
@@ -293,15 +293,15 @@
 
   void Reject(int status, std::string_view text) {
     keep_ = false;
-    acceptor_.log_.Info("acceptor: %d to a client: %.*s", status, static_cast<int>(text.size()), text.data());
+    listener_.log_.Info("acceptor: %d to a client: %.*s", status, static_cast<int>(text.size()), text.data());
     Say(status, text, 0);
   }
 
-  Acceptor& acceptor_;
+  DownstreamListener& listener_;
   http::Parser parser_;
   Timer timer_;
   State state_ = State::kReading;
-  CallId call_ = 0;
+  RequestId call_ = 0;
   std::string request_id_;  // of the call
   Micros connected_at_;
   ReceiveTimes received_;
@@ -311,11 +311,11 @@
   bool spilt_ = false;  // more was sent ahead than is kept
 };
 
-Acceptor::Acceptor(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
-                   AcceptorOptions options)
+DownstreamListener::DownstreamListener(EventLoop& loop, Log& log, RequestDispatcher& dispatcher,
+                                       DescriptorLimit& descriptors, ListenerOptions options)
     : loop_(loop),
       log_(log),
-      gateway_(gateway),
+      dispatcher_(dispatcher),
       descriptors_(descriptors),
       options_(std::move(options)),
       waste_(kWaste),
@@ -338,7 +338,7 @@
   places_named_ = static_cast<int>(options_.tenants.size());
 }
 
-int Acceptor::NameTenant(const std::string& name) {
+int DownstreamListener::NameTenant(const std::string& name) {
   auto [it, fresh] = tenant_of_.try_emplace(name, places_named_);
   if (!fresh) return it->second;
   if (free_places_.empty()) return places_named_++;
@@ -347,7 +347,7 @@
   return it->second;
 }
 
-int Acceptor::ForgetTenant(const std::string& name) {
+int DownstreamListener::ForgetTenant(const std::string& name) {
   auto it = tenant_of_.find(name);
   if (it == tenant_of_.end()) return -1;
   free_places_.push_back(it->second);
@@ -355,8 +355,8 @@
   return free_places_.back();
 }
 
-void Acceptor::Retune(const std::vector<std::string>& names, const std::vector<Micros>& patience,
-                      const std::vector<sandstand::Effect>& effects) {
+void DownstreamListener::Retune(const std::vector<std::string>& names, const std::vector<Micros>& patience,
+                                const std::vector<sandstand::Effect>& effects) {
   for (std::size_t i = 0; i < names.size(); ++i) {
     auto known = class_of_.find(names[i]);
     if (known != class_of_.end()) {
@@ -391,20 +391,20 @@
   }
 }
 
-Acceptor::~Acceptor() {
+DownstreamListener::~DownstreamListener() {
   descriptors_.SetCloseUnused(DescriptorLimit::Side::kDownstream, nullptr);
   descriptors_.SetOnRoom(nullptr);
   if (listener_) loop_.Unwatch(token_, listener_.get());
 }
 
-void Acceptor::Listen() {
+void DownstreamListener::Listen() {
   BoundSocket bound = BindTcpListener(options_.listen, SOMAXCONN, "listen");
   listener_ = std::move(bound.fd);
   port_ = bound.port;
   Watch();
 }
 
-void Acceptor::Inherit(int fd) {
+void DownstreamListener::Inherit(int fd) {
   auto option = [fd](int name) {
     int value = 0;
     socklen_t size = sizeof value;
@@ -433,25 +433,25 @@
   Watch();
 }
 
-void Acceptor::Watch() {
+void DownstreamListener::Watch() {
   token_ = loop_.Watch(listener_.get(), this);
   if (token_ == 0) throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
-void Acceptor::Lameduck(bool on) {
+void DownstreamListener::Lameduck(bool on) {
   lameduck_ = on;
   if (on) CloseIdle();
 }
 
-void Acceptor::StopAccepting() {
+void DownstreamListener::StopAccepting() {
   pause_.Clear();
   if (listener_) loop_.Unwatch(token_, listener_.get());
   listener_.Reset();
 }
 
-void Acceptor::OnReady(std::uint32_t) { Accept(); }
+void DownstreamListener::OnReady(std::uint32_t) { Accept(); }
 
-void Acceptor::Accept() {
+void DownstreamListener::Accept() {
   waiting_ = false;
   for (int i = 0; listener_; ++i) {
     if (i == kAcceptsAtOnce) return loop_.NotifyAgain(token_, EPOLLIN);
@@ -481,12 +481,12 @@
   }
 }
 
-bool Acceptor::Pending() const {
+bool DownstreamListener::Pending() const {
   pollfd listener{listener_.get(), POLLIN, 0};
   return ::poll(&listener, 1, 0) > 0;
 }
 
-bool Acceptor::DropIfUnused(limits::ClientRoom::Id id) {
+bool DownstreamListener::DropIfUnused(limits::ClientRoom::Id id) {
   if (!conns_.at(id)->Leave()) return false;
   ++ended_early_;
   // Guards against a shortage of places that nobody sees: what can't get in leaves no other trace here.
@@ -500,11 +500,11 @@
   return true;
 }
 
-void Acceptor::Trim() {
+void DownstreamListener::Trim() {
   room_.Trim([this](limits::ClientRoom::Id id) { return DropIfUnused(id); });
 }
 
-void Acceptor::Drop(Conn& conn) {
+void DownstreamListener::Drop(Conn& conn) {
   auto it = conns_.find(conn.id);
   std::unique_ptr<Conn> owned = std::move(it->second);
   conns_.erase(it);
@@ -514,7 +514,7 @@
   loop_.DeferDelete(std::move(owned));
 }
 
-void Acceptor::Close() {
+void DownstreamListener::Close() {
   if (closed_) return;
   draining_ = true;
   // What has been accepted by the kernel is ours already, unless the platform's socket keeps it for our
@@ -528,7 +528,7 @@
   CloseIdle();
 }
 
-void Acceptor::CloseIdle() {
+void DownstreamListener::CloseIdle() {
   // One that leaves may take others with it; those that went are freed only after this round.
   std::vector<Conn*> all;
   for (auto& [id, conn] : conns_) all.push_back(conn.get());
--- a/src/downstream/listener.hpp
+++ b/src/downstream/listener.hpp
@@ -18,7 +18,7 @@
 
 namespace dappletiller {
 
-struct AcceptorOptions {
+struct ListenerOptions {
   Endpoint listen;
   std::vector<std::string> classes;        // by their places in the settings
   std::vector<Micros> patience;            // of a class: no client waits longer
@@ -39,11 +39,11 @@
   std::shared_ptr<BodyMemory> long_bodies = nullptr;
 };
 
-class Acceptor final : private EventHandler {
+class DownstreamListener final : private EventHandler {
  public:
-  Acceptor(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
-           AcceptorOptions options);
-  ~Acceptor();
+  DownstreamListener(EventLoop& loop, Log& log, RequestDispatcher& dispatcher, DescriptorLimit& descriptors,
+                     ListenerOptions options);
+  ~DownstreamListener();
 
   void Listen();  // throws std::system_error
   // Serves on a listening TCP socket that the platform holds for every process of this proxy, instead of
@@ -95,9 +95,9 @@
 
   EventLoop& loop_;
   Log& log_;
-  Gateway& gateway_;
+  RequestDispatcher& dispatcher_;
   DescriptorLimit& descriptors_;
-  AcceptorOptions options_;
+  ListenerOptions options_;
   std::unordered_map<std::string, int> class_of_;
   std::unordered_map<std::string, int> tenant_of_;
   int places_named_ = 0;                      // of tenants, ever
--- a/src/drain/drain_state_file.hpp
+++ b/src/drain/drain_state_file.hpp
@@ -1,6 +1,6 @@
 // Administrative drains as the JSON text that a process leaves for its successor in an upgrade.
 //
-// Touches no file; the caller reads and writes. A text that is cut short, foreign or of another version gives
+// Touches no file; the sink reads and writes. A text that is cut short, foreign or of another version gives
 // nothing, never a part of what it held.
 //
 //   {"format": "dappletiller-held", "version": 1, "held": [uid...], "back": {uid: microseconds}}
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -18,7 +18,7 @@
 
 void GracefulShutdown::Begin() {
   has_begun_ = true;
-  parts_.log.Info("leaving: %zu calls open, %zu client connections", parts_.dispatcher.open_calls(),
+  parts_.log.Info("leaving: %zu calls open, %zu client connections", parts_.dispatcher.open_requests(),
                   parts_.listener.connections());
   const Micros longest_deadline = std::min(parts_.config.longest_deadline, kMaxDeadline);
   answer_by_ = parts_.loop.Now() + longest_deadline + kAnswerAfterDeadline;
@@ -34,7 +34,7 @@
 void GracefulShutdown::CheckFinished() {
   parts_.listener.Close();
   const Micros now = parts_.loop.Now();
-  if (now >= answer_by_) parts_.dispatcher.EndOpenCalls();
+  if (now >= answer_by_) parts_.dispatcher.EndOpenRequests();
   if (IsFinished()) {
     parts_.loop.Stop();
     return;
@@ -50,7 +50,7 @@
 bool GracefulShutdown::IsFinished() const {
   const bool has_left_fleet = !parts_.membership || parts_.membership->has_left();
   const bool no_clients = parts_.listener.closed() && parts_.listener.connections() == 0;
-  return parts_.dispatcher.open_calls() == 0 && no_clients && has_left_fleet;
+  return parts_.dispatcher.open_requests() == 0 && no_clients && has_left_fleet;
 }
 
 }  // namespace dappletiller
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -22,8 +22,8 @@
 std::size_t ClientConnectionSlots(const Config& config) { return config.sockets / kSlotsDivisor; }
 std::size_t LongBodyMemory(const Config& config) { return config.memory / kLongBodiesDivisor; }
 
-AcceptorOptions MakeListenerOptions(const Config& config, std::shared_ptr<BodyMemory> long_bodies) {
-  AcceptorOptions options;
+ListenerOptions MakeListenerOptions(const Config& config, std::shared_ptr<BodyMemory> long_bodies) {
+  ListenerOptions options;
   options.long_bodies = std::move(long_bodies);
   options.listen = config.listen;
   options.places = ClientConnectionSlots(config);
@@ -36,7 +36,7 @@
   return options;
 }
 
-WorkerLimits MakeUpstreamLimits(const Config& config) { return {config.dial_timeout, config.idle_timeout}; }
+UpstreamLimits MakeUpstreamLimits(const Config& config) { return {config.dial_timeout, config.idle_timeout}; }
 
 DiscoveryOptions MakeDiscoveryOptions(const Config& config) {
   DiscoveryOptions options;
--- a/src/proxy/options.hpp
+++ b/src/proxy/options.hpp
@@ -24,8 +24,8 @@
 // Bytes that long bodies may take together beyond the usual size.
 std::size_t LongBodyMemory(const Config& config);
 
-AcceptorOptions MakeListenerOptions(const Config& config, std::shared_ptr<BodyMemory> long_bodies);
-WorkerLimits MakeUpstreamLimits(const Config& config);
+ListenerOptions MakeListenerOptions(const Config& config, std::shared_ptr<BodyMemory> long_bodies);
+UpstreamLimits MakeUpstreamLimits(const Config& config);
 DiscoveryOptions MakeDiscoveryOptions(const Config& config);
 
 }  // namespace dappletiller
--- a/src/proxy/parts.cpp
+++ b/src/proxy/parts.cpp
@@ -8,7 +8,7 @@
 namespace dappletiller {
 
 FeedParts::FeedParts(EventLoop& loop, Log& log, const std::string& name, config_feed::FollowerOptions options,
-                     Acceptor& listener, Gateway& dispatcher)
+                     DownstreamListener& listener, RequestDispatcher& dispatcher)
     : follower(std::move(options)),
       applier(log, follower, listener, dispatcher),
       client(loop, log, follower, name, applier) {}
@@ -61,7 +61,7 @@
   } else {
     listener.Listen();
   }
-  dispatcher.Learn(config.known);
+  dispatcher.OnEndpointUpdate(config.known);
   discovery.Start();
 }
 
--- a/src/proxy/parts.hpp
+++ b/src/proxy/parts.hpp
@@ -27,7 +27,7 @@
 // The configuration feed's parts, in a proxy that follows it.
 struct FeedParts {
   FeedParts(EventLoop& loop, Log& log, const std::string& name, config_feed::FollowerOptions options,
-            Acceptor& listener, Gateway& dispatcher);
+            DownstreamListener& listener, RequestDispatcher& dispatcher);
   // The operator file's scope.
   static config_feed::Scope MakeScope(const operators::SettingsFeedOptions& options);
 
@@ -50,11 +50,11 @@
   Config config;
   std::string operator_path;
   EventLoop loop;
-  Gateway dispatcher;
+  RequestDispatcher dispatcher;
   DescriptorLimit descriptors;
   std::shared_ptr<BodyMemory> long_bodies;
-  WorkerLinks upstream;
-  Acceptor listener;
+  UpstreamPool upstream;
+  DownstreamListener listener;
   DiscoveryClient discovery;
   std::optional<MembershipTransport> membership;
   std::optional<FeedParts> feed;
@@ -63,7 +63,7 @@
   void AddFeed(const operators::SettingsFeedOptions& options);
   void AddMembership(operators::FleetOptions options);
   void OnQuotaShare(double share, TimePoint valid_until) override {
-    dispatcher.Grant(share, ToMicros(valid_until));
+    dispatcher.SetQuotaShare(share, ToMicros(valid_until));
   }
 };
 
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -28,7 +28,7 @@
 }
 
 void ReloadClasses(const Config& config, ProxyParts* parts) {
-  const AcceptorOptions options = MakeListenerOptions(config, nullptr);
+  const ListenerOptions options = MakeListenerOptions(config, nullptr);
   parts->listener.Retune(options.classes, options.patience, options.effects);
   if (parts->feed) parts->feed->applier.ReapplyClasses();
 }
--- a/src/proxy/settings_applier.hpp
+++ b/src/proxy/settings_applier.hpp
@@ -18,7 +18,8 @@
 class SettingsApplier final : public SettingsObserver {
  public:
   // All must outlive it.
-  SettingsApplier(Log& log, config_feed::Follower& follower, Acceptor& listener, Gateway& dispatcher)
+  SettingsApplier(Log& log, config_feed::Follower& follower, DownstreamListener& listener,
+                  RequestDispatcher& dispatcher)
       : log_(log), follower_(follower), listener_(listener), dispatcher_(dispatcher) {}
 
   // Costs by the names that the changes touch.
@@ -34,8 +35,8 @@
 
   Log& log_;
   config_feed::Follower& follower_;
-  Acceptor& listener_;
-  Gateway& dispatcher_;
+  DownstreamListener& listener_;
+  RequestDispatcher& dispatcher_;
 };
 
 }  // namespace dappletiller
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -62,16 +62,16 @@
       feed_(loop, log, follower_, options.self, *this),
       taken_(std::move(taken)) {}
 
-void ByFeed::Serve(Gateway* gateway) {
-  gateway_ = gateway;
-  if (gateway_ != nullptr) return feed_.Start();
+void ByFeed::Serve(RequestDispatcher* dispatcher) {
+  dispatcher_ = dispatcher;
+  if (dispatcher_ != nullptr) return feed_.Start();
   // The proxy has ended: nothing is asked any more.
   follower_.SetServers(0, {}, {});
   feed_.RestartRequest();
 }
 
 void ByFeed::OnSettingsChanged(const std::vector<config_feed::Change>& changes) {
-  if (gateway_ == nullptr) return;
+  if (dispatcher_ == nullptr) return;
   for (const config_feed::EffectiveEntry& entry :
        config_feed::ResolveEntries(follower_.store(), follower_.scope(), changes)) {
     std::optional<config_feed::TenantValue> tenant;
@@ -83,7 +83,7 @@
     int place = places_.try_emplace(entry.name, static_cast<int>(places_.size())).first->second;
     sandstand::TenantSettings share;
     if (tenant) share = {tenant->share, tenant->quota_per_second};
-    gateway_->SetTenant(place, tenant.has_value(), share);
+    dispatcher_->SetTenant(place, tenant.has_value(), share);
   }
   if (version() != told_) taken_(told_ = version());
 }
@@ -91,12 +91,12 @@
 // ---- The hollow proxy ----
 
 // Kept until its proxy goes, also when it is answered: a second answer is to be seen, not to be a crash.
-struct Hollow::Request final : Caller {
+struct Hollow::Request final : ResponseSink {
   explicit Request(Hollow& h) : hollow(h) {}
-  void Served(PayloadRef) override { Count(&hollow.world_.served); }
-  void Rejected(Micros) override { Count(&hollow.world_.refused); }
-  void Failed() override { Count(&hollow.world_.failed); }
-  bool Gone() const override { return false; }
+  void OnResponse(PayloadRef) override { Count(&hollow.world_.served); }
+  void OnRejected(Micros) override { Count(&hollow.world_.refused); }
+  void OnFailed() override { Count(&hollow.world_.failed); }
+  bool ClientHasLeft() const override { return false; }
   void Count(std::uint64_t* what) {
     if (std::exchange(answered, true)) {
       ++hollow.world_.twice;
@@ -115,7 +115,7 @@
   config.settings.seed = options.seed;
   // Each starts without a list: what is known at a start is discovery's.
   config.known = {};
-  config.known.kind = WorkerList::Kind::kCached;
+  config.known.kind = EndpointList::Kind::kCached;
   return config;
 }
 
@@ -125,23 +125,23 @@
       way_(way),
       options_(std::move(options)),
       config_(Placed(way.First(), options_)),
-      gateway_(loop, log, config_.settings),
-      discovery_(loop, log, gateway_,
+      dispatcher_(loop, log, config_.settings),
+      discovery_(loop, log, dispatcher_,
                  {options_.discovery, "discovery", config_.names, 0, config_.settings.ask_within,
                   !config_.settings.list_on_request}),
       random_(options_.seed),
       next_(loop) {
-  gateway_.Connect(*this, discovery_);
+  dispatcher_.Connect(*this, discovery_);
   if (options_.fleet) {
     auto zone = static_cast<std::size_t>(options_.zone);
     peers_.emplace(loop, log, *options_.fleet, options_.name,
                    zone < config_.names.zones.size() ? config_.names.zones[zone] : std::string(),
                    static_cast<QuotaShareObserver&>(*this));
   }
-  gateway_.Learn(config_.known);
+  dispatcher_.OnEndpointUpdate(config_.known);
   discovery_.Start();
   if (peers_) peers_->Start();
-  way_.Serve(&gateway_);
+  way_.Serve(&dispatcher_);
   Next();
 }
 
@@ -162,23 +162,24 @@
 
 void Hollow::Arrive() {
   if (discovery_.version() == 0) return;  // no list yet: a front sends nobody here before
-  CallId id = gateway_.NewCall();
+  RequestId id = dispatcher_.NewRequestId();
   auto& request = *(requests_[id] = std::make_unique<Request>(*this));
   ++world_.arrived;
   ++open_;
-  Arrival arrival;
-  arrival.call_class = static_cast<int>(random_(static_cast<std::uint32_t>(config_.settings.classes.size())));
+  IncomingRequest arrival;
+  arrival.request_class =
+      static_cast<int>(random_(static_cast<std::uint32_t>(config_.settings.classes.size())));
   if (!config_.settings.tenants.empty())
     arrival.tenant = static_cast<int>(random_(static_cast<std::uint32_t>(config_.settings.tenants.size())));
   arrival.deadline = loop_.Now() + kPatience;
   arrival.work_hint = world_.work;
-  gateway_.Arrive(id, std::move(arrival), request);
+  dispatcher_.OnRequest(id, std::move(arrival), request);
 }
 
 void Hollow::Start(const Attempt& attempt) {
   Micros now = loop_.Now();
   ++world_.sent;
-  Place& place = places_[attempt.worker];
+  Place& place = places_[attempt.server];
   const auto& server = world_.servers[static_cast<std::size_t>(place.server)];
   Micros window = world_.drain_window + kTimeTolerance;
   if (place.told != 0 && now > place.told + window) ++world_.after_told;
@@ -187,24 +188,24 @@
   if (server.drained != 0 && now > had + limits::WatchTimes::kToldAfter + window) ++world_.after_had;
   bool drains = server.drained != 0;
   Micros takes = !server.runs ? kDial : drains ? kTurnsAway : world_.work;
-  AttemptEnd end = !server.runs ? AttemptEnd::kUnreachable
-                   : drains     ? AttemptEnd::kTurnedAway
-                                : AttemptEnd::kAnswered;
+  AttemptOutcome end = !server.runs ? AttemptOutcome::kUnreachable
+                       : drains     ? AttemptOutcome::kRejected
+                                    : AttemptOutcome::kAnswered;
   AttemptKey key = attempt.key;
   out_[key] = loop_.ScheduleAt(now + takes, [this, key, end] {
     out_.erase(key);
-    gateway_.Ended(key, end, nullptr);
+    dispatcher_.OnAttemptEnded(key, end, nullptr);
   });
 }
 
-void Hollow::GiveUp(AttemptKey key) {
+void Hollow::Cancel(AttemptKey key) {
   auto it = out_.find(key);
   if (it == out_.end()) return;
   loop_.Cancel(it->second);
   out_.erase(it);
 }
 
-void Hollow::Locate(WorkerId worker, const Endpoint& endpoint) {
+void Hollow::SetEndpoint(ServerId worker, const Endpoint& endpoint) {
   touched_ = true;
   if (places_.size() <= worker) places_.resize(worker + 1);
   auto it = world_.by_port.find(endpoint.port);
@@ -212,14 +213,14 @@
   places_[worker] = {it == world_.by_port.end() ? 0 : it->second, 0, places_[worker].told};
 }
 
-void Hollow::Release(WorkerId worker) {
+void Hollow::StopUsing(ServerId worker) {
   touched_ = true;
   if (worker >= places_.size()) return;
   Place& place = places_[worker];
   place.told = place.told_was != 0 ? place.told_was : loop_.Now();
 }
 
-void Hollow::Forget(WorkerId worker) {
+void Hollow::Remove(ServerId worker) {
   touched_ = true;
   if (worker < places_.size()) places_[worker].told = loop_.Now();
 }
--- a/src/rig/hollow.hpp
+++ b/src/rig/hollow.hpp
@@ -1,8 +1,8 @@
-// Hollow proxies: the program's own control code (configuration, gateway with the module, discovery's list,
-// the view of the fleet, parts) without sockets to clients or servers. Many share one loop and one process;
-// each has its own of everything else, so that what one costs can be read off. Requests are put straight to
-// the gateway, and servers are played where the gateway hands attempts over: by the run's plan, not by
-// sockets.
+// Hollow proxies: the program's own control code (configuration, dispatcher with the module, discovery's
+// list, the view of the fleet, parts) without sockets to clients or servers. Many share one loop and one
+// process; each has its own of everything else, so that what one costs can be read off. Requests are put
+// straight to the dispatcher, and servers are played where the dispatcher hands attempts over: by the run's
+// plan, not by sockets.
 //
 // Nothing of the control code is written a second time here. Owned by the process that plays the role
 // (scale_roles); lives on its loop.
@@ -38,8 +38,8 @@
   virtual Config First() = 0;
   // There is something new: an operator's signal.
   virtual void Signal() = 0;
-  // The proxy's gateway, from its start to its end (null: it ends).
-  virtual void Serve(Gateway*) {}
+  // The proxy's dispatcher, from its start to its end (null: it ends).
+  virtual void Serve(RequestDispatcher*) {}
   virtual std::uint64_t version() const = 0;  // of the last that was taken; 0: none
   virtual std::uint64_t bytes() const = 0;    // read up to now
   virtual std::uint64_t refused() const = 0;  // versions that could not be taken
@@ -74,7 +74,7 @@
          std::function<void(std::uint64_t version)> taken);
   Config First() override { return start_.First(); }
   void Signal() override {}
-  void Serve(Gateway* gateway) override;
+  void Serve(RequestDispatcher* dispatcher) override;
   std::uint64_t version() const override { return follower_.store().head().serial; }
   std::uint64_t bytes() const override { return start_.bytes() + feed_.bytes_in() + feed_.bytes_out(); }
   std::uint64_t refused() const override { return refused_; }
@@ -86,7 +86,7 @@
   config_feed::Follower follower_;
   FeedClient feed_;
   std::function<void(std::uint64_t)> taken_;
-  Gateway* gateway_ = nullptr;
+  RequestDispatcher* dispatcher_ = nullptr;
   std::unordered_map<std::string, int> places_;  // of tenants
   std::uint64_t told_ = 0, refused_ = 0;
 };
@@ -123,7 +123,7 @@
   std::optional<operators::FleetOptions> fleet;
 };
 
-class Hollow final : private Workers, private QuotaShareObserver {
+class Hollow final : private UpstreamTransport, private QuotaShareObserver {
  public:
   // Throws ConfigError, std::system_error. World, way and log outlive it.
   Hollow(EventLoop& loop, Log& log, HollowWorld& world, SettingsWay& way, HollowOptions options);
@@ -135,7 +135,7 @@
   std::uint64_t list_version() const { return discovery_.version(); }
   // Whether the list may have changed since the last call.
   bool TakeTouched() { return std::exchange(touched_, false); }
-  std::size_t workers_known() const { return gateway_.workers_known(); }
+  std::size_t workers_known() const { return dispatcher_.known_servers(); }
   const MembershipTransport* peers() const { return peers_ ? &*peers_ : nullptr; }
   std::size_t open() const { return open_; }
 
@@ -148,13 +148,13 @@
   };
   static Config Placed(Config config, const HollowOptions& options);
   void Start(const Attempt& attempt) override;
-  void GiveUp(AttemptKey key) override;
-  bool Withdraw(AttemptKey) override { return false; }
-  void Locate(WorkerId worker, const Endpoint& endpoint) override;
-  void Release(WorkerId worker) override;
-  void Forget(WorkerId worker) override;
+  void Cancel(AttemptKey key) override;
+  bool RevokeUnsent(AttemptKey) override { return false; }
+  void SetEndpoint(ServerId worker, const Endpoint& endpoint) override;
+  void StopUsing(ServerId worker) override;
+  void Remove(ServerId worker) override;
   void OnQuotaShare(double share, TimePoint valid_until) override {
-    gateway_.Grant(share, ToMicros(valid_until));
+    dispatcher_.SetQuotaShare(share, ToMicros(valid_until));
   }
   void Next();
   void Arrive();
@@ -164,14 +164,14 @@
   SettingsWay& way_;
   HollowOptions options_;
   Config config_;
-  Gateway gateway_;
+  RequestDispatcher dispatcher_;
   DiscoveryClient discovery_;
   std::optional<MembershipTransport> peers_;
   pcg32 random_;
   Timer next_;
-  std::vector<Place> places_;  // by the gateway's number
+  std::vector<Place> places_;  // by the dispatcher's number
   std::unordered_map<AttemptKey, EventLoop::TimerKey, AttemptKeyHash> out_;
-  std::unordered_map<CallId, std::unique_ptr<Request>> requests_;
+  std::unordered_map<RequestId, std::unique_ptr<Request>> requests_;
   std::size_t open_ = 0;
   bool touched_ = false;
 };
--- a/src/rig/measure.cpp
+++ b/src/rig/measure.cpp
@@ -40,27 +40,27 @@
 }
 
 // Servers that answer when they are told to, and are never reached by a socket.
-class Answering final : public Workers {
+class Answering final : public UpstreamTransport {
  public:
   void Start(const Attempt& attempt) override { out.push_back(attempt.key); }
-  void GiveUp(AttemptKey key) override { std::erase(out, key); }
-  bool Withdraw(AttemptKey) override { return false; }
-  void Locate(WorkerId, const Endpoint&) override {}
-  void Release(WorkerId) override {}
-  void Forget(WorkerId) override {}
+  void Cancel(AttemptKey key) override { std::erase(out, key); }
+  bool RevokeUnsent(AttemptKey) override { return false; }
+  void SetEndpoint(ServerId, const Endpoint&) override {}
+  void StopUsing(ServerId) override {}
+  void Remove(ServerId) override {}
   std::vector<AttemptKey> out;
 };
-class NoList final : public ListSource {
+class NoList final : public EndpointSource {
  public:
   void Watch() override {}
   void Fetch() override {}
 };
-class Nobody final : public Caller {
+class Nobody final : public ResponseSink {
  public:
-  void Served(PayloadRef) override {}
-  void Rejected(Micros) override {}
-  void Failed() override {}
-  bool Gone() const override { return false; }
+  void OnResponse(PayloadRef) override {}
+  void OnRejected(Micros) override {}
+  void OnFailed() override {}
+  bool ClientHasLeft() const override { return false; }
 };
 
 ScaleScript Small(int tenants) {
@@ -92,9 +92,9 @@
   Answering workers;
   NoList source;
   Config config = ParseConfig(ScaleConfig(Small(100), "m", 0, "127.0.0.1:1", "1", 1));
-  Gateway gateway(loop, log, config.settings);
-  gateway.Connect(workers, source);
-  gateway.Learn(config.known);
+  RequestDispatcher dispatcher(loop, log, config.settings);
+  dispatcher.Connect(workers, source);
+  dispatcher.OnEndpointUpdate(config.known);
   std::string entries;
   for (int i = 0; i < servers; ++i) entries += (i == 0 ? "" : ",") + Entry(sizes, i, "up");
   std::string whole = ListText(1, true, entries);
@@ -103,7 +103,7 @@
   std::size_t bytes = whole.size();
   {
     auto list = ParseList(whole, config.names);
-    gateway.Learn(*list);
+    dispatcher.OnEndpointUpdate(*list);
   }
   double whole_ms = (Cpu() - before) * 1e3;
   std::string().swap(whole);
@@ -127,7 +127,7 @@
     double a = Cpu();
     auto list = ParseList(text, config.names);
     double b = Cpu();
-    gateway.Learn(*list);
+    dispatcher.OnEndpointUpdate(*list);
     double c = Cpu();
     parse += b - a;
     apply += c - b;
@@ -141,17 +141,17 @@
   while (requests < sizes.seconds) {
     double a = Cpu();
     for (int k = 0; k < 100; ++k, ++count) {
-      CallId id = gateway.NewCall();
-      Arrival arrival;
-      arrival.call_class = static_cast<int>(random(3));
+      RequestId id = dispatcher.NewRequestId();
+      IncomingRequest arrival;
+      arrival.request_class = static_cast<int>(random(3));
       arrival.deadline = loop.Now() + 5'000'000;
       arrival.work_hint = 1 + random(kLargestHint);
       arrival.tenant = static_cast<int>(random(100));
-      gateway.Arrive(id, std::move(arrival), nobody);
+      dispatcher.OnRequest(id, std::move(arrival), nobody);
       while (workers.out.size() > kOpen) {
         AttemptKey key = workers.out.front();
         workers.out.erase(workers.out.begin());
-        gateway.Ended(key, AttemptEnd::kAnswered, nullptr);
+        dispatcher.OnAttemptEnded(key, AttemptOutcome::kAnswered, nullptr);
       }
     }
     requests += Cpu() - a;
@@ -169,14 +169,14 @@
   std::string text = ScaleConfig(Small(tenants), "m", 0, "127.0.0.1:1", "1", 1);
   double before_mb = ResidentMb();
   std::optional<Config> config;
-  std::optional<Gateway> gateway;
+  std::optional<RequestDispatcher> dispatcher;
   try {
     config = ParseConfig(text);
   } catch (const ConfigError&) {
     std::printf("%d %zu - - -\n", tenants, text.size());
     return;
   }
-  gateway.emplace(loop, log, config->settings);
+  dispatcher.emplace(loop, log, config->settings);
   double mb = ResidentMb() - before_mb;
   // A change: the whole read anew and compared, as the program does at SIGHUP.
   double all = 0, most = 0;
--- a/src/rig/standins.hpp
+++ b/src/rig/standins.hpp
@@ -129,7 +129,7 @@
       : Server(loop), sender_(std::move(sender)), list_(std::move(list)) {}
   // The entries changed since a version, as JSON; none: too long ago, only the whole list will do.
   using ChangesSince = std::function<std::optional<std::string>(std::uint64_t after)>;
-  // Told of each call that names the version its caller holds: that one, and all before, it has taken.
+  // Told of each call that names the version its sink holds: that one, and all before, it has taken.
   using Holds = std::function<void(std::uint64_t version)>;
   void Tell(ChangesSince changes, Holds holds) {
     changes_ = std::move(changes);
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -24,19 +24,19 @@
 constexpr Micros kWaryFor = 60'000'000;
 constexpr Micros kWaryRest = 50'000;
 
-AttemptEnd Judge(const http::Message& answer) {
-  if (answer.status() == 200) return AttemptEnd::kAnswered;
+AttemptOutcome Judge(const http::Message& answer) {
+  if (answer.status() == 200) return AttemptOutcome::kAnswered;
   bool refused = answer.status() == 503 || answer.status() == 504;
-  if (refused && answer.Find("Not-Started") == "1") return AttemptEnd::kTurnedAway;
-  return AttemptEnd::kError;
+  if (refused && answer.Find("Not-Started") == "1") return AttemptOutcome::kRejected;
+  return AttemptOutcome::kError;
 }
 
 }  // namespace
 
 // One connection.
-class WorkerLinks::Link final : public StreamSocket::Callbacks {
+class UpstreamPool::Link final : public StreamSocket::Callbacks {
  public:
-  Link(WorkerLinks& links, WorkerId worker, const Endpoint& endpoint)
+  Link(UpstreamPool& links, ServerId worker, const Endpoint& endpoint)
       : worker(worker),
         endpoint(endpoint),
         timer(links.loop_),
@@ -51,7 +51,7 @@
     crossed_ = false;
     // The payload is ours: this is the only protocol whose calls reach these links.
     request_ = std::static_pointer_cast<const http::Message>(attempt.payload);
-    wait_until_ = links_.loop_.Now() + attempt.wait;
+    wait_until_ = links_.loop_.Now() + attempt.timeout;
     if (!up) return;
     Write();
     socket.Flush();
@@ -64,7 +64,7 @@
     timer.Clear();
     Write();
   }
-  bool MayWrite() override { return links_.gateway_.MayWrite(key); }
+  bool MayWrite() override { return links_.dispatcher_.MayWrite(key); }
   void OnFlushed() override { written_ = true; }
 
   void OnReceived(std::size_t n) override {
@@ -79,13 +79,13 @@
     if (!busy) return links_.DropIdle(*this);
     if (written_ && !parser_.begun()) links_.NoteRest(rest, false);
     // What was never written whole can't have run.
-    links_.Finish(*this, written_ ? AttemptEnd::kReset : AttemptEnd::kUnreachable, nullptr);
+    links_.Finish(*this, written_ ? AttemptOutcome::kReset : AttemptOutcome::kUnreachable, nullptr);
   }
 
   bool reusable() const { return reusable_ && socket.open(); }
   bool written() const { return written_; }
 
-  WorkerId worker;
+  ServerId worker;
   Endpoint endpoint;
   AttemptKey key;
   bool busy = false;
@@ -112,29 +112,29 @@
     }
     if (parser_.bad()) {
       socket.Close();
-      return links_.Finish(*this, written_ ? AttemptEnd::kReset : AttemptEnd::kUnreachable, nullptr);
+      return links_.Finish(*this, written_ ? AttemptOutcome::kReset : AttemptOutcome::kUnreachable, nullptr);
     }
     if (!parser_.done()) return;
     http::MessageRef answer = parser_.TakeMessage();
     // An answer before the request was written whole leaves a connection with half a request on it.
     reusable_ = answer->keep_alive() && written_ && !parser_.begun();
     if (parser_.begun()) links_.NoteSurplus(worker);
-    AttemptEnd end = Judge(*answer);
+    AttemptOutcome end = Judge(*answer);
     // The request may run there, so it is not sent elsewhere for this: its own answer follows, or is here.
-    if (crossed_ && written_ && end == AttemptEnd::kAnswered) {
+    if (crossed_ && written_ && end == AttemptOutcome::kAnswered) {
       links_.NoteSurplus(worker);
       crossed_ = false;
       if (socket.open()) return Look();
-      end = AttemptEnd::kReset;
+      end = AttemptOutcome::kReset;
     }
     // A worker begins a request once its last byte has arrived. Guards against serving what was made for an
     // earlier one: before that byte only a refusal can be meant for this.
-    if (!written_ && end != AttemptEnd::kTurnedAway) end = AttemptEnd::kUnreachable;
+    if (!written_ && end != AttemptOutcome::kRejected) end = AttemptOutcome::kUnreachable;
     links_.NoteRest(rest, true);
     links_.Finish(*this, end, std::move(answer));
   }
 
-  WorkerLinks& links_;
+  UpstreamPool& links_;
   http::Parser parser_;
   http::MessageRef request_;  // until it is in the channel's hands
   Micros wait_until_ = 0;
@@ -145,11 +145,12 @@
   bool reusable_ = false;
 };
 
-WorkerLinks::WorkerLinks(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
-                         const WorkerLimits& limits, std::shared_ptr<BodyMemory> long_bodies)
+UpstreamPool::UpstreamPool(EventLoop& loop, Log& log, RequestDispatcher& dispatcher,
+                           DescriptorLimit& descriptors, const UpstreamLimits& limits,
+                           std::shared_ptr<BodyMemory> long_bodies)
     : loop_(loop),
       log_(log),
-      gateway_(gateway),
+      dispatcher_(dispatcher),
       descriptors_(descriptors),
       limits_(limits),
       long_bodies_(std::move(long_bodies)),
@@ -157,15 +158,15 @@
   descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, [this] { return DropOneIdle(); });
 }
 
-WorkerLinks::~WorkerLinks() { descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, nullptr); }
+UpstreamPool::~UpstreamPool() { descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, nullptr); }
 
-void WorkerLinks::Locate(WorkerId worker, const Endpoint& endpoint) {
+void UpstreamPool::SetEndpoint(ServerId worker, const Endpoint& endpoint) {
   Pool& pool = pools_[worker];
   // What is called off here may be sent again at once, and by then to the new address.
-  if (!(std::exchange(pool.endpoint, endpoint) == endpoint)) Release(worker);
+  if (!(std::exchange(pool.endpoint, endpoint) == endpoint)) StopUsing(worker);
 }
 
-void WorkerLinks::Release(WorkerId worker) {
+void UpstreamPool::StopUsing(ServerId worker) {
   auto it = pools_.find(worker);
   if (it == pools_.end()) return;
   while (!it->second.idle.empty()) DropIdle(*it->second.idle.back());
@@ -178,36 +179,36 @@
     auto found = busy_.find(key);
     if (found == busy_.end()) continue;
     found->second->socket.Close();
-    Finish(*found->second, AttemptEnd::kUnreachable, nullptr);
+    Finish(*found->second, AttemptOutcome::kUnreachable, nullptr);
   }
 }
 
 // What is still out there goes on; its connection finds no pool to return to.
-void WorkerLinks::Forget(WorkerId worker) {
-  Release(worker);
+void UpstreamPool::Remove(ServerId worker) {
+  StopUsing(worker);
   pools_.erase(worker);
 }
 
-void WorkerLinks::Start(const Attempt& attempt) {
-  auto it = pools_.find(attempt.worker);
-  if (it == pools_.end()) return gateway_.Ended(attempt.key, AttemptEnd::kNotSent, nullptr);
+void UpstreamPool::Start(const Attempt& attempt) {
+  auto it = pools_.find(attempt.server);
+  if (it == pools_.end()) return dispatcher_.OnAttemptEnded(attempt.key, AttemptOutcome::kNotSent, nullptr);
   std::unique_ptr<Link> link = TakeIdle(it->second);
   if (link == nullptr) {
     if (!descriptors_.MakeRoom(DescriptorLimit::Side::kUpstream)) {
       log_.Info("worker: all %zu connections in use, a call is not sent", descriptors_.limit());
-      return gateway_.Ended(attempt.key, AttemptEnd::kNotSent, nullptr);
+      return dispatcher_.OnAttemptEnded(attempt.key, AttemptOutcome::kNotSent, nullptr);
     }
-    link = std::make_unique<Link>(*this, attempt.worker, it->second.endpoint);
+    link = std::make_unique<Link>(*this, attempt.server, it->second.endpoint);
     if (!link->socket.Connect(it->second.endpoint)) {
-      return gateway_.Ended(attempt.key, AttemptEnd::kUnreachable, nullptr);
+      return dispatcher_.OnAttemptEnded(attempt.key, AttemptOutcome::kUnreachable, nullptr);
     }
     ++count_;
-    ++gateway_.tally().dialled;
+    ++dispatcher_.counters().dialled;
     descriptors_.Acquire();
     Link* dialled = link.get();
     link->timer.Set(limits_.dial, [this, dialled] {
       dialled->socket.Close();
-      Finish(*dialled, AttemptEnd::kUnreachable, nullptr);
+      Finish(*dialled, AttemptOutcome::kUnreachable, nullptr);
     });
   }
   Link& started = *link;
@@ -218,7 +219,7 @@
 // Of the idle connections that still stand the one whose rest broke the fewest requests so far, and of equals
 // the most recently used. Guards against requests that cross a worker's close, be it right after its answer
 // or after long.
-std::unique_ptr<WorkerLinks::Link> WorkerLinks::TakeIdle(Pool& pool) {
+std::unique_ptr<UpstreamPool::Link> UpstreamPool::TakeIdle(Pool& pool) {
   Micros now = loop_.Now();
   // The most recently used lie last.
   auto end = pool.idle.end();
@@ -248,16 +249,16 @@
   return nullptr;
 }
 
-void WorkerLinks::NoteRest(Micros rest, bool kept) {
+void UpstreamPool::NoteRest(Micros rest, bool kept) {
   rests_.Note(rest, kept);
   if (!kept && !fade_.set()) fade_.Set(kFadeEvery, [this] { Fade(); });
 }
 
-void WorkerLinks::Fade() {
+void UpstreamPool::Fade() {
   if (rests_.Fade()) fade_.Set(kFadeEvery, [this] { Fade(); });
 }
 
-bool WorkerLinks::DropOneIdle() {
+bool UpstreamPool::DropOneIdle() {
   for (auto& [id, pool] : pools_) {
     if (pool.idle.empty()) continue;
     DropIdle(*pool.idle.front());
@@ -267,7 +268,7 @@
 }
 
 // Giving up means closing: the worker stops its work when the connection goes.
-void WorkerLinks::GiveUp(AttemptKey key) {
+void UpstreamPool::Cancel(AttemptKey key) {
   auto it = busy_.find(key);
   if (it == busy_.end()) return;
   std::unique_ptr<Link> link = std::move(it->second);
@@ -275,19 +276,19 @@
   Discard(std::move(link));
 }
 
-bool WorkerLinks::Withdraw(AttemptKey key) {
+bool UpstreamPool::RevokeUnsent(AttemptKey key) {
   auto it = busy_.find(key);
   if (it == busy_.end() || it->second->written()) return false;
-  GiveUp(key);
+  Cancel(key);
   return true;
 }
 
-void WorkerLinks::NoteSurplus(WorkerId worker) {
+void UpstreamPool::NoteSurplus(ServerId worker) {
   auto it = pools_.find(worker);
   if (it != pools_.end()) it->second.wary_until = loop_.Now() + kWaryFor;
 }
 
-void WorkerLinks::Finish(Link& link, AttemptEnd end, PayloadRef answer) {
+void UpstreamPool::Finish(Link& link, AttemptOutcome end, PayloadRef answer) {
   auto it = busy_.find(link.key);
   if (it == busy_.end()) return;
   std::unique_ptr<Link> owned = std::move(it->second);
@@ -300,10 +301,10 @@
   } else {
     Discard(std::move(owned));
   }
-  gateway_.Ended(key, end, std::move(answer));
+  dispatcher_.OnAttemptEnded(key, end, std::move(answer));
 }
 
-void WorkerLinks::Park(std::unique_ptr<Link> link) {
+void UpstreamPool::Park(std::unique_ptr<Link> link) {
   auto it = pools_.find(link->worker);
   if (it == pools_.end() || !(it->second.endpoint == link->endpoint)) return Discard(std::move(link));
   Link& parked = *link;
@@ -314,7 +315,7 @@
                    [this, &parked] { DropIdle(parked); });
 }
 
-void WorkerLinks::DropIdle(Link& link) {
+void UpstreamPool::DropIdle(Link& link) {
   auto it = pools_.find(link.worker);
   if (it == pools_.end()) return;
   std::unique_ptr<Link> owned = std::move(*link.place);
@@ -322,7 +323,7 @@
   Discard(std::move(owned));
 }
 
-void WorkerLinks::Discard(std::unique_ptr<Link> link) {
+void UpstreamPool::Discard(std::unique_ptr<Link> link) {
   link->socket.Close();
   link->timer.Clear();
   --count_;
--- a/src/upstream/upstream_pool.hpp
+++ b/src/upstream/upstream_pool.hpp
@@ -17,26 +17,26 @@
 
 namespace dappletiller {
 
-struct WorkerLimits {
+struct UpstreamLimits {
   Micros dial = 0;  // a connection that is not up by then never will be
   Micros idle = 0;  // workers close connections that are idle for this long, at the latest
 };
 
-class WorkerLinks final : public Workers {
+class UpstreamPool final : public UpstreamTransport {
  public:
   // `long_bodies`: for answers with long bodies; none: bodies of the usual size only.
-  WorkerLinks(EventLoop& loop, Log& log, Gateway& gateway, DescriptorLimit& descriptors,
-              const WorkerLimits& limits, std::shared_ptr<BodyMemory> long_bodies = nullptr);
-  ~WorkerLinks();
+  UpstreamPool(EventLoop& loop, Log& log, RequestDispatcher& dispatcher, DescriptorLimit& descriptors,
+               const UpstreamLimits& limits, std::shared_ptr<BodyMemory> long_bodies = nullptr);
+  ~UpstreamPool();
 
   void Start(const Attempt& attempt) override;
-  void GiveUp(AttemptKey key) override;
-  bool Withdraw(AttemptKey key) override;
-  void Locate(WorkerId worker, const Endpoint& endpoint) override;
-  void Release(WorkerId worker) override;
-  void Forget(WorkerId worker) override;
+  void Cancel(AttemptKey key) override;
+  bool RevokeUnsent(AttemptKey key) override;
+  void SetEndpoint(ServerId worker, const Endpoint& endpoint) override;
+  void StopUsing(ServerId worker) override;
+  void Remove(ServerId worker) override;
 
-  void SetLimits(const WorkerLimits& limits) { limits_ = limits; }
+  void SetLimits(const UpstreamLimits& limits) { limits_ = limits; }
   std::size_t pools() const { return pools_.size(); }
   std::size_t connections() const { return count_; }
 
@@ -50,23 +50,23 @@
   };
 
   void NoteRest(Micros rest, bool kept);
-  void NoteSurplus(WorkerId worker);
+  void NoteSurplus(ServerId worker);
   void Fade();
 
   std::unique_ptr<Link> TakeIdle(Pool& pool);
   bool DropOneIdle();
-  void Finish(Link& link, AttemptEnd end, PayloadRef answer);
+  void Finish(Link& link, AttemptOutcome end, PayloadRef answer);
   void Park(std::unique_ptr<Link> link);
   void DropIdle(Link& link);
   void Discard(std::unique_ptr<Link> link);
 
   EventLoop& loop_;
   Log& log_;
-  Gateway& gateway_;
+  RequestDispatcher& dispatcher_;
   DescriptorLimit& descriptors_;
-  WorkerLimits limits_;
+  UpstreamLimits limits_;
   std::shared_ptr<BodyMemory> long_bodies_;
-  std::unordered_map<WorkerId, Pool> pools_;
+  std::unordered_map<ServerId, Pool> pools_;
   std::unordered_map<AttemptKey, std::unique_ptr<Link>, AttemptKeyHash> busy_;
   std::size_t count_ = 0;
   limits::RestRecord rests_;
--- a/tests/admin/console_test.cpp
+++ b/tests/admin/console_test.cpp
@@ -90,7 +90,7 @@
   Host a, b;
   rig.Know({&a, &b});
   std::string uid_a = "w" + std::to_string(a.port);
-  CHECK_FALSE(rig.gateway.Drain("never-listed"));
+  CHECK_FALSE(rig.dispatcher.Drain("never-listed"));
   // A call in flight at the worker when it is detached still gets its answer from it.
   Peer first = rig.Client();
   Peer* at = nullptr;
@@ -121,9 +121,9 @@
       rig.Hears(first, "b " + id);
     }
   }
-  REQUIRE(rig.gateway.Drain(uid_a));
-  REQUIRE(rig.gateway.Drain(uid_a));
-  rig.Know({&a, &b}, WorkerList::Kind::kFull);  // discovery still says ready
+  REQUIRE(rig.dispatcher.Drain(uid_a));
+  REQUIRE(rig.dispatcher.Drain(uid_a));
+  rig.Know({&a, &b}, EndpointList::Kind::kFull);  // discovery still says ready
   at->Say(Answer(200, "from a"));
   rig.Hears(first, "from a");
   for (int i = 0; i < 6; ++i) {
@@ -136,8 +136,8 @@
     rig.Hears(client, "ok " + id);
   }
   for (Peer& p : a.peers) CHECK(p.Heard().find("Request-Id: d") == std::string::npos);
-  CHECK(rig.gateway.Undrain(uid_a));
-  CHECK_FALSE(rig.gateway.drains().IsDrained(uid_a));
+  CHECK(rig.dispatcher.Undrain(uid_a));
+  CHECK_FALSE(rig.dispatcher.drains().IsDrained(uid_a));
 }
 
 class Answers final : public ConsoleHandler {
@@ -161,7 +161,7 @@
   Peer ready = Peer::Dial(console.port());
   ready.Say("GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n");
   rig.Hears(ready, "HTTP/1.1 200");
-  rig.Until("the ready caller is closed", [&] { return ready.Ended(); });
+  rig.Until("the ready sink is closed", [&] { return ready.Ended(); });
   Peer unknown = Peer::Dial(console.port());
   unknown.Say("PUT /_plan-servers/detach?who=nobody HTTP/1.1\r\nHost: x\r\n\r\n");
   rig.Hears(unknown, "HTTP/1.1 404");
@@ -185,9 +185,9 @@
   Peer busy = rig.Client();
   busy.Say(Check("b0"));
   Peer& busy_at = rig.Request(worker, "b0");
-  REQUIRE(rig.acceptor.connections() == 2);
-  rig.acceptor.Lameduck(true);
-  CHECK(rig.acceptor.connections() == 1);  // the idle one goes at once, not at its idle time
+  REQUIRE(rig.listener.connections() == 2);
+  rig.listener.Lameduck(true);
+  CHECK(rig.listener.connections() == 1);  // the idle one goes at once, not at its idle time
   rig.Until("the idle client is closed", [&] { return idle.Ended(); });
   busy_at.text.clear();
   busy_at.Say(Answer(200, "second"));
@@ -195,7 +195,7 @@
   Peer probe = rig.Client();
   probe.Say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
   rig.Hears(probe, "HTTP/1.1 503");
-  rig.acceptor.Lameduck(false);
+  rig.listener.Lameduck(false);
   Peer again = rig.Client();
   again.Say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
   rig.Hears(again, "HTTP/1.1 200");
@@ -204,10 +204,10 @@
 TEST_CASE("the platform's socket is taken only if it is a listening TCP socket") {
   Rig rig;
   FileDescriptor plain(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  CHECK_THROWS(rig.acceptor.Inherit(plain.get()));
+  CHECK_THROWS(rig.listener.Inherit(plain.get()));
   FileDescriptor datagram(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  CHECK_THROWS(rig.acceptor.Inherit(datagram.get()));
-  CHECK_THROWS(rig.acceptor.Inherit(1000));  // no descriptor at all
+  CHECK_THROWS(rig.listener.Inherit(datagram.get()));
+  CHECK_THROWS(rig.listener.Inherit(1000));  // no descriptor at all
 }
 
 // Seen on a day with new settings: after SIGHUP clients named a new class and got 400 for most of the day.
@@ -225,7 +225,7 @@
   Peer open = rig.Client();
   open.Say(Check("c1"));
   Peer& open_at = rig.Request(worker, "c1");
-  rig.acceptor.Retune({"look"}, {kBound}, {sandstand::Effect::kSafe});
+  rig.listener.Retune({"look"}, {kBound}, {sandstand::Effect::kSafe});
   open_at.text.clear();
   open_at.Say(Answer(200, "checked"));
   rig.Hears(open, "checked");
@@ -236,7 +236,7 @@
   at.Say(Answer(200, "looked"));
   rig.Hears(after, "looked");
   // An effect that no class of the start has is not taken: the module could not decide it.
-  rig.acceptor.Retune({"odd"}, {kBound}, {static_cast<sandstand::Effect>(99)});
+  rig.listener.Retune({"odd"}, {kBound}, {static_cast<sandstand::Effect>(99)});
   Peer odd = rig.Client();
   odd.Say("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: o1\r\nRequest-Class: odd\r\n\r\n");
   rig.Hears(odd, "HTTP/1.1 400");
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -154,7 +154,7 @@
   rig.discovery.Move({kLoopback, refused}, "discovery");
   int failed = 0, last = 0;  // the tally begins anew each second
   rig.Until("six dials were refused", [&] {
-    int now = rig.gateway.tally().list_failures;
+    int now = rig.dispatcher.counters().list_failures;
     failed += now >= last ? now - last : now;
     last = now;
     return failed >= 6;
@@ -178,8 +178,8 @@
   {
     EventLoop loop;
     Log log(file, "test");
-    Gateway gateway(loop, log, Asking());
-    ++gateway.tally().list_calls;
+    RequestDispatcher dispatcher(loop, log, Asking());
+    ++dispatcher.counters().list_calls;
     Micros end = loop.Now() + kBound;
     std::string text;
     while (text.find("passed:") == std::string::npos && loop.Now() < end) {
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -183,20 +183,20 @@
   auto list = ParseList(std::string(R"({"rev":43,"all":false,"targets":[)") + kEntry + "]}", names);
   REQUIRE(list);
   CHECK(list->version == 43);
-  CHECK(list->kind == WorkerList::Kind::kChanges);
+  CHECK(list->kind == EndpointList::Kind::kChanges);
   REQUIRE(list->entries.size() == 1);
-  const WorkerEntry& e = list->entries[0];
+  const EndpointEntry& e = list->entries[0];
   CHECK(e.uid == "s-1");
   CHECK(e.zone == 1);
   CHECK(e.kind == 1);
   CHECK(e.cell == 3);
   CHECK(e.size == 1.5);
-  CHECK(e.state == WorkerState::kDraining);
+  CHECK(e.state == EndpointState::kDraining);
   CHECK(e.boot_unix == 1700000000123000);
   auto full = ParseList(R"({"rev":44,"all":true,"targets":[{"uid":"x","state":"removed","az":"z"}]})", names);
   REQUIRE(full);
-  CHECK(full->kind == WorkerList::Kind::kFull);
-  CHECK(full->entries[0].state == WorkerState::kGone);
+  CHECK(full->kind == EndpointList::Kind::kFull);
+  CHECK(full->entries[0].state == EndpointState::kRemoved);
   CHECK(full->entries[0].zone == -1);
   for (const char* bad : {"", "[]", "{}", R"({"rev":1,"all":true})", R"({"rev":-1,"all":true,"targets":[]})",
                           R"({"rev":1,"all":true,"targets":[7]})", R"({"rev":1,"all":true,"targets":[{}]})",
@@ -229,7 +229,7 @@
   CHECK(c.name == "n3");
   CHECK(c.listen.port == 8080);
   CHECK(c.sockets == 1024);
-  CHECK(c.known.kind == WorkerList::Kind::kCached);
+  CHECK(c.known.kind == EndpointList::Kind::kCached);
   CHECK(c.known.entries.size() == 1);
   CHECK(c.classes == std::vector<std::string>{"limit-check", "plan-open"});
   CHECK(c.tenants == std::vector<std::string>{"north", "south"});
--- a/tests/net/answer_delivery_test.cpp
+++ b/tests/net/answer_delivery_test.cpp
@@ -23,8 +23,8 @@
 void ServeThroughSmallBuffers(Rig& rig) {
   Host host;
   REQUIRE(::setsockopt(host.fd(), SOL_SOCKET, SO_SNDBUF, &kSmallBuffer, sizeof kSmallBuffer) == 0);
-  rig.acceptor.StopAccepting();
-  rig.acceptor.Inherit(::dup(host.fd()));
+  rig.listener.StopAccepting();
+  rig.listener.Inherit(::dup(host.fd()));
 }
 
 bool IsWhole(const Peer& client, std::string_view body) {
@@ -57,7 +57,7 @@
   ServeThroughSmallBuffers(rig);
   Host worker;
   rig.Know({&worker});
-  Peer client = Peer::Dial(rig.acceptor.port(), kSmallBuffer);
+  Peer client = Peer::Dial(rig.listener.port(), kSmallBuffer);
   client.Say(Check("a1"));
   rig.Request(worker, "a1").Say(Answer(200, LongBody()));
   Micros took = TakeSteadily(rig, client, LongBody(), kWriteFor / 8);
@@ -72,10 +72,10 @@
   ServeThroughSmallBuffers(rig);
   Host worker;
   rig.Know({&worker});
-  Peer client = Peer::Dial(rig.acceptor.port(), kSmallBuffer);
+  Peer client = Peer::Dial(rig.listener.port(), kSmallBuffer);
   client.Say(Check("a1"));
   rig.Request(worker, "a1").Say(Answer(200, LongBody()));
-  rig.Until("its connection is closed", [&] { return rig.acceptor.connections() == 0; });
+  rig.Until("its connection is closed", [&] { return rig.listener.connections() == 0; });
   rig.Until("it has met the end", [&] { return client.Ended(); });
   CHECK(client.Has("Content-Length: " + std::to_string(LongBody().size()) + "\r\n"));
   CHECK_FALSE(IsWhole(client, LongBody()));
@@ -94,10 +94,10 @@
   Rig rig(Rules(), kBound, 64, 8, 64, false, kBound, kLingerFor);
   Host worker;
   rig.Know({&worker});
-  Peer client = Peer::Dial(rig.acceptor.port(), kSmallBuffer);
+  Peer client = Peer::Dial(rig.listener.port(), kSmallBuffer);
   client.Say(Check("a1"));
   Peer& at = rig.Request(worker, "a1");
-  if (last) rig.acceptor.Drain(rig.loop.Now() + kBound);
+  if (last) rig.listener.Drain(rig.loop.Now() + kBound);
   at.Say(Answer(200, LongBody()));
   const Micros says_at = rig.loop.Now() + ends_after + ends_after / 4;
   bool said = false;
@@ -120,7 +120,7 @@
   CHECK(client.Has("Connection: close\r\n") == last);
   if (!last) return rig.Hears(client, "\r\n\r\nup");
   rig.Until("the connection goes once the client has it all",
-            [&] { return rig.acceptor.connections() == 0; });
+            [&] { return rig.listener.connections() == 0; });
 }
 
 // ---- An upstream server that stops half-way ----
@@ -141,7 +141,7 @@
     Peer client = rig.Client();
     client.Say(why == Why::kUnsafe ? Pay("a1") : at_once ? Check("a1") : CheckWithin("a1", kWithin));
     Peer& at = rig.Request(worker, "a1");
-    rig.Know({&other}, WorkerList::Kind::kChanges);
+    rig.Know({&other}, EndpointList::Kind::kChanges);
     at.Say("HTTP/1.1 200 OK\r\n\r\nmade so far");
     at.Abort();
     Micros cut = rig.loop.Now();
@@ -174,7 +174,7 @@
     client.Say(PayWithin("a1", kWithin));
     Micros deadline = rig.loop.Now() + kWithin * kMs;
     Peer& at = rig.Request(worker, "a1");
-    rig.Know({&other}, WorkerList::Kind::kChanges);
+    rig.Know({&other}, EndpointList::Kind::kChanges);
     if (begun) at.Say("HTTP/1.1 200 OK\r\n\r\nmade so far");
     rig.Hears(client, "HTTP/1.1 502 ");
     CHECK(rig.loop.Now() < deadline);
@@ -206,8 +206,8 @@
     Peer client = rig.Client();
     client.Say(Check("a1") + (read ? Check("a2") : ""));
     Peer& at = rig.Request(worker, "a1");
-    if (how == Ends::kDrain) rig.acceptor.Drain(rig.loop.Now() + kBound);
-    if (how == Ends::kLameDuck) rig.acceptor.Lameduck(true);
+    if (how == Ends::kDrain) rig.listener.Drain(rig.loop.Now() + kBound);
+    if (how == Ends::kLameDuck) rig.listener.Lameduck(true);
     at.Say(Answer(200, "one"));
     if (!read) client.Say(Check("a2"));  // told of after the answer
     rig.Request(worker, "a2").Say(Answer(200, "two"));
@@ -227,11 +227,11 @@
   rig.Know({&worker});
   Peer client = rig.Client();
   if (lame_duck) {
-    rig.Until("it is accepted", [&] { return rig.acceptor.connections() == 1; });
-    rig.acceptor.Lameduck(true);
+    rig.Until("it is accepted", [&] { return rig.listener.connections() == 1; });
+    rig.listener.Lameduck(true);
   } else {
-    rig.acceptor.Close();
-    REQUIRE(rig.acceptor.closed());
+    rig.listener.Close();
+    REQUIRE(rig.listener.closed());
   }
   client.Say(Check("a1"));
   rig.Request(worker, "a1").Say(Answer(200, "one"));
--- a/tests/net/crowd_test.cpp
+++ b/tests/net/crowd_test.cpp
@@ -32,7 +32,7 @@
   for (int i = 0; i < 40; ++i) {
     CAPTURE(i);
     // The platform lets no client in beyond the places: there has to be one by now.
-    REQUIRE(rig.acceptor.connections() < kPlaces);
+    REQUIRE(rig.listener.connections() < kPlaces);
     once.push_back(rig.Client());
     Serve(rig, worker, once.back(), "o" + std::to_string(i));
     if (i % 10 == 9) Serve(rig, worker, faithful, "f" + std::to_string(i));
@@ -86,12 +86,12 @@
 TEST_CASE("one that has its last answer goes before all others when a descriptor is needed") {
   Rig rig(Rules(), kBound, 3, 1, 8);
   Peer silent = rig.Client();
-  rig.Until("it is in", [&] { return rig.acceptor.connections() == 1; });
+  rig.Until("it is in", [&] { return rig.listener.connections() == 1; });
   Peer bad = rig.Client();
   bad.Say("nonsense\r\n\r\n");
   rig.Hears(bad, "HTTP/1.1 400 ");
   Peer third = rig.Client();
-  rig.Until("all are in", [&] { return rig.acceptor.connections() == 3; });
+  rig.Until("all are in", [&] { return rig.listener.connections() == 3; });
   Peer fourth = rig.Client();
   fourth.Say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
   rig.Hears(fourth, "HTTP/1.1 200 ");
--- a/tests/net/deadline_test.cpp
+++ b/tests/net/deadline_test.cpp
@@ -23,17 +23,17 @@
   Peer second = rig.Client();
   Peer third = rig.Client();
   if (other == Other::kClientLeaves) third.Say(Check("third"));
-  rig.Until("all are connected", [&] { return rig.acceptor.connections() == 3; });
+  rig.Until("all are connected", [&] { return rig.listener.connections() == 3; });
   first.Say(CheckWithin("first", kFirstWithin));
   second.Say(CheckWithin("second", kSecondWithin));
   std::size_t held = other == Other::kClientLeaves ? 3 : 2;
-  rig.Until("they are held", [&] { return rig.gateway.open_calls() == held; });
+  rig.Until("they are held", [&] { return rig.dispatcher.open_requests() == held; });
   // What happens next lies in the kernel when the first deadline's timer is due.
   if (other == Other::kRequest) third.Say(Check("third"));
   if (other == Other::kClientLeaves) third.Close();
   Micros due_by = rig.loop.Now() + kFirstWithin * kMs;
   WaitOutsideTheLoop("the first deadline has passed", [&] { return rig.loop.Now() > due_by; });
-  if (other == Other::kList) rig.Know({}, WorkerList::Kind::kFull);
+  if (other == Other::kList) rig.Know({}, EndpointList::Kind::kFull);
   rig.Hears(first, "HTTP/1.1 503 ");
   rig.Hears(second, "HTTP/1.1 503 ");
 }
@@ -66,7 +66,7 @@
   Host server;
   Peer client = rig.Client();
   client.Say(Check("first") + (in_pieces ? "" : second));
-  rig.Until("the first is held", [&] { return rig.gateway.open_calls() == 1; });
+  rig.Until("the first is held", [&] { return rig.dispatcher.open_requests() == 1; });
   if (in_pieces) {
     client.Say(second.substr(0, 20));
     rig.loop.RunOnce(0);
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -90,14 +90,14 @@
       rig.Know({});  // no worker: all is held
       Peer client = rig.Client();
       client.Say(Check("a1"));
-      rig.Until("it is held", [&] { return rig.gateway.open_calls() == 1; });
+      rig.Until("it is held", [&] { return rig.dispatcher.open_requests() == 1; });
       Pour(rig, client, behind.bytes);
       Go(client, hard);
-      rig.Until("its end is known", [&] { return rig.gateway.open_calls() == 0; });
+      rig.Until("its end is known", [&] { return rig.dispatcher.open_requests() == 0; });
       Settles(rig);
-      CHECK(rig.acceptor.connections() == 0);
+      CHECK(rig.listener.connections() == 0);
       Host worker;
-      rig.Know({&worker}, WorkerList::Kind::kChanges);
+      rig.Know({&worker}, EndpointList::Kind::kChanges);
       Peer next = rig.Client();  // what comes now is sent; the held one would have been sent before it
       next.Say(Check("b1"));
       Peer& at = rig.Request(worker, "b1");
@@ -118,16 +118,16 @@
     crowd.push_back(rig.Client());
     crowd.back().Say((i % 3 == 0 ? Pay("a" + std::to_string(i)) : Check("a" + std::to_string(i))));
   }
-  rig.Until("all are held", [&] { return rig.gateway.open_calls() == 60; });
+  rig.Until("all are held", [&] { return rig.dispatcher.open_requests() == 60; });
   for (std::size_t i = 0; i < crowd.size(); ++i) {
     std::string bytes = behinds[i % behinds.size()].bytes;
     crowd[i].Say(bytes.substr(0, 8'000));
     Go(crowd[i], i % 2 == 0);
   }
-  rig.Until("all are heard", [&] { return rig.gateway.open_calls() == 0; });
+  rig.Until("all are heard", [&] { return rig.dispatcher.open_requests() == 0; });
   Settles(rig);
   Host worker;
-  rig.Know({&worker}, WorkerList::Kind::kChanges);
+  rig.Know({&worker}, EndpointList::Kind::kChanges);
   Peer next = rig.Client();
   next.Say(Check("b1"));
   rig.Request(worker, "b1");
@@ -151,19 +151,19 @@
       client.Say(Check("a1"));
       if (retry) {  // turned away by the first; the only other one does not come up
         Peer& at = rig.Request(first, "a1");
-        rig.Know({&shut}, WorkerList::Kind::kChanges);
+        rig.Know({&shut}, EndpointList::Kind::kChanges);
         at.Say(Answer(503, "", "Not-Started: 1\r\nConnection: close\r\n"));
         rig.Until("the first is left", [&] { return at.Ended(); });
       }
       rig.Until("it is dialled", [&] { return rig.workers.connections() == 1; });
       client.Close();
-      rig.Until("its end is known", [&] { return rig.gateway.open_calls() == 0; });
+      rig.Until("its end is known", [&] { return rig.dispatcher.open_requests() == 0; });
       CHECK(rig.workers.connections() == 0);  // nothing is left that could be sent
       Settles(rig);
       shut.Open();
       Peer next = rig.Client();
       next.Say(Check("b1"));
-      if (retry) rig.Know({&first}, WorkerList::Kind::kChanges, WorkerState::kDraining);
+      if (retry) rig.Know({&first}, EndpointList::Kind::kChanges, EndpointState::kDraining);
       rig.Request(shut, "b1");
       for (Peer& peer : shut.peers) CHECK_FALSE(peer.Has("Request-Id: a1"));
     }
@@ -181,11 +181,11 @@
   Peer client = rig.Client();
   client.Say(Pay("a1"));
   Peer& at = rig.Request(worker, "a1");
-  rig.Know({&other}, WorkerList::Kind::kChanges);
+  rig.Know({&other}, EndpointList::Kind::kChanges);
   client.Abort();
-  rig.Until("its end is known", [&] { return rig.gateway.open_calls() == 0; });
+  rig.Until("its end is known", [&] { return rig.dispatcher.open_requests() == 0; });
   CHECK_FALSE(at.Ended());
-  CHECK(rig.gateway.table_size() == 1);
+  CHECK(rig.dispatcher.table_size() == 1);
   at.Say(Answer(500));
   Settles(rig);
   CHECK_FALSE(other.Accept());
@@ -226,7 +226,7 @@
     Pour(rig, client, Pay("a1", std::string(64 * 1024, 'x')));
     // It is up in both kernels, and the loop has not heard of that yet: nothing is written.
     rig.Until("the worker is dialled", [&] { return early.Accept(); });
-    rig.Know({&other}, WorkerList::Kind::kChanges);
+    rig.Know({&other}, EndpointList::Kind::kChanges);
     early.peers[0].Say(refusal ? Answer(503, "", "Not-Started: 1\r\n") : Answer(200, "too early"));
     rig.Request(other, "a1").Say(Answer(200, "made for it"));
     rig.Hears(client, "made for it");
@@ -275,7 +275,7 @@
     Peer client = rig.Client();
     client.Say(Check("a1"));
     Peer& at = rig.Request(endless, "a1");
-    rig.Know({&other}, WorkerList::Kind::kChanges);
+    rig.Know({&other}, EndpointList::Kind::kChanges);
     std::string bytes = head;
     for (int i = 0; i < 40; ++i) bytes += "1000\r\n" + std::string(4096, 'x') + "\r\n";
     at.Say(bytes);
@@ -299,7 +299,7 @@
   Peer client = rig.Client();
   client.Say(Pay("a1"));
   rig.Until("it is dialled", [&] { return rig.workers.connections() == 1; });
-  rig.Know({&other}, WorkerList::Kind::kChanges);
+  rig.Know({&other}, EndpointList::Kind::kChanges);
   rig.Request(other, "a1").Say(Answer(200, "one"));
   rig.Hears(client, "one");
   CHECK(rig.workers.connections() == 1);  // to the other alone
@@ -319,18 +319,18 @@
   rig.Until("it is dialled", [&] { return rig.workers.connections() == 1; });
   std::vector<Host*> all = {&shut};
   for (Host& host : leaving) all.push_back(&host);
-  rig.Know(all, WorkerList::Kind::kChanges);
-  rig.Know({&staying}, WorkerList::Kind::kChanges);
-  WorkerList list;
-  list.kind = WorkerList::Kind::kChanges;
+  rig.Know(all, EndpointList::Kind::kChanges);
+  rig.Know({&staying}, EndpointList::Kind::kChanges);
+  EndpointList list;
+  list.kind = EndpointList::Kind::kChanges;
   for (Host* host : all) {
-    WorkerEntry& entry = list.entries.emplace_back();
+    EndpointEntry& entry = list.entries.emplace_back();
     entry.uid = "w" + std::to_string(host->port);
     entry.endpoint = host->endpoint();
     entry.zone = 0;
-    entry.state = WorkerState::kDraining;
+    entry.state = EndpointState::kDraining;
   }
-  rig.gateway.Learn(list);
+  rig.dispatcher.OnEndpointUpdate(list);
   rig.Request(staying, "a1").Say(Answer(200, "one"));
   rig.Hears(client, "one");
   for (Host& host : leaving) CHECK_FALSE(host.Accept());
@@ -361,7 +361,7 @@
         Peer client = rig.Client();
         client.Say(unsafe ? Pay("a1") : Check("a1"));
         Peer* at = &rig.Request(worker, "a1");
-        rig.Know({&other}, WorkerList::Kind::kChanges);
+        rig.Know({&other}, EndpointList::Kind::kChanges);
         int rev = 42;
         bool left = false, ended = false;
         auto listed = [&](const char* state) {
@@ -384,7 +384,7 @@
         bool quiet =
             !ended && (first != kAnswer && second != kAnswer) && (first != kError && second != kError);
         if (left) {
-          rig.Until("its end is known", [&] { return rig.gateway.open_calls() == 0; });
+          rig.Until("its end is known", [&] { return rig.dispatcher.open_requests() == 0; });
         } else if (quiet) {  // both are the list's: the call goes on
           for (int i = 0; i < 5; ++i) rig.loop.RunOnce(0);
           at->Say(Answer(200, "one"));
@@ -419,22 +419,22 @@
   held.Say(Check("a1"));
   Peer& at = rig.Request(worker, "a1");
   CHECK(rig.descriptors.used() == 2);
-  rig.acceptor.Drain(rig.loop.Now() + kBound);
+  rig.listener.Drain(rig.loop.Now() + kBound);
   Peer waits = rig.Client();
   waits.Say("GET /up HTTP/1.1\r\n\r\n");
-  rig.acceptor.Close();
-  CHECK_FALSE(rig.acceptor.closed());
+  rig.listener.Close();
+  CHECK_FALSE(rig.listener.closed());
   at.Say(Answer(200, "one"));
   rig.Hears(held, "one");
   held.Close();
   rig.Until("the one that waited is answered", [&] {
-    rig.acceptor.Close();
+    rig.listener.Close();
     return waits.Has("HTTP/1.1 503 ");
   });
   CHECK_FALSE(waits.reset);
   rig.Until("the listener is closed", [&] {
-    rig.acceptor.Close();
-    return rig.acceptor.closed();
+    rig.listener.Close();
+    return rig.listener.closed();
   });
 }
 
@@ -443,12 +443,12 @@
   Rig rig;
   Host worker;
   rig.Know({&worker});
-  rig.acceptor.Drain(rig.loop.Now() + 4'000 * kMs);
+  rig.listener.Drain(rig.loop.Now() + 4'000 * kMs);
   Peer client = rig.Client();
   client.Say(Check("a1"));
   std::string text = rig.Request(worker, "a1").text;
   CHECK(std::atol(text.c_str() + text.find("Request-Timeout: ") + 17) <= 4'000 * kMs);
-  rig.acceptor.Drain(rig.loop.Now() - 1);  // past it: refused at once
+  rig.listener.Drain(rig.loop.Now() - 1);  // past it: refused at once
   Peer late = rig.Client();
   late.Say(Check("a2"));
   rig.Hears(late, "HTTP/1.1 503 ");
@@ -467,14 +467,14 @@
   open.Say(Check("a1"));
   Peer& at = rig.Request(one, "a1");
   using sandstand::Effect;
-  rig.acceptor.Retune({"check"}, {kBound}, {Effect::kUnsafe});
+  rig.listener.Retune({"check"}, {kBound}, {Effect::kUnsafe});
   Peer old = rig.Client();
   old.Say(Check("a2"));
   rig.Hears(old, "HTTP/1.1 400 ");  // a GET does not go with it any more
   Peer client = rig.Client();
   client.Say("POST /api HTTP/1.1\r\nRequest-Id: a3\r\nRequest-Class: check\r\nContent-Length: 2\r\n\r\nhi");
   Peer& unsafe = rig.Request(one, "a3");
-  rig.Know({&two}, WorkerList::Kind::kChanges);
+  rig.Know({&two}, EndpointList::Kind::kChanges);
   unsafe.Abort();
   rig.Hears(client, "HTTP/1.1 502 ");  // may have run: never again
   CHECK_FALSE(two.Accept());
--- a/tests/net/late_bytes_test.cpp
+++ b/tests/net/late_bytes_test.cpp
@@ -86,7 +86,7 @@
     rig.Hears(client, "body of " + id);
   };
   for (int i = 0; i < 4; ++i) serve("before" + std::to_string(i));
-  rig.acceptor.Drain(rig.loop.Now() + kTimeLeft);
+  rig.listener.Drain(rig.loop.Now() + kTimeLeft);
   for (int i = 0; i < 4; ++i) serve("after" + std::to_string(i));
   Settles(rig);
 }
@@ -147,8 +147,8 @@
     Peer& at = rig.Request(first, "a1");
     sent_by = rig.loop.Now();
     rig.Hears(at, kLastBytes);
-    rig.Know({&second}, WorkerList::Kind::kChanges);
-    rig.Know({&first}, WorkerList::Kind::kChanges, WorkerState::kDraining);
+    rig.Know({&second}, EndpointList::Kind::kChanges);
+    rig.Know({&first}, EndpointList::Kind::kChanges, EndpointState::kDraining);
     at.Say(Answer(500));  // it may have run
     rig.Until("the repeat is dialled", [&] { return rig.workers.connections() == 2; });
     WaitOutsideTheLoop("the connection is up", [&] { return second.Accept(); });
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -45,7 +45,7 @@
     client.text.clear();
   }
   CHECK(worker.peers.size() == 1);
-  CHECK(rig.acceptor.connections() == 1);
+  CHECK(rig.listener.connections() == 1);
   Settles(rig);
 }
 
@@ -75,7 +75,7 @@
     rig.Request(*first, "a1").Say(Answer(status, "", "Not-Started: 1\r\n"));
     Peer& second = rig.Request(first == &one ? two : one, "a1");
     // The module is owed one outcome of each attempt: another word about the first changes nothing.
-    rig.gateway.Ended({1, 0}, AttemptEnd::kError, nullptr);
+    rig.dispatcher.OnAttemptEnded({1, 0}, AttemptOutcome::kError, nullptr);
     second.Say(Answer(200, "paid"));
     rig.Hears(client, "paid");
     CHECK_FALSE(client.Has("Not-Started"));
@@ -171,12 +171,14 @@
     rig.Know({&worker});
     Waiter waiter;
     Micros deadline = rig.loop.Now() + 15'000 * kMs;
-    rig.gateway.Arrive(rig.gateway.NewCall(), {1, -1, deadline, {}, false, Parsed(Pay("a1"))}, waiter);
+    rig.dispatcher.OnRequest(rig.dispatcher.NewRequestId(), {1, -1, deadline, {}, false, Parsed(Pay("a1"))},
+                             waiter);
     Peer& first = rig.Request(worker, "a1");
     first.Say(Answer(200, "one"));
     rig.Until("it is served", [&] { return waiter.served == 1; });
     abort ? first.Abort() : first.Close();
-    rig.gateway.Arrive(rig.gateway.NewCall(), {1, -1, deadline, {}, false, Parsed(Pay("a2"))}, waiter);
+    rig.dispatcher.OnRequest(rig.dispatcher.NewRequestId(), {1, -1, deadline, {}, false, Parsed(Pay("a2"))},
+                             waiter);
     rig.Request(worker, "a2").Say(Answer(200, "two"));
     rig.Until("it is served too", [&] { return waiter.served == 2; });
     CHECK(waiter.other == 0);
@@ -190,9 +192,10 @@
 TEST_CASE("a rest that breaks connections is not given to them again") {
   Rig rig;
   Host worker;
-  rig.workers.Locate(1, worker.endpoint());
+  rig.workers.SetEndpoint(1, worker.endpoint());
   int broken = 0;
-  for (CallId i = 0; i < 12; ++i) {  // past the gateway, which would have the module leave the worker alone
+  for (RequestId i = 0; i < 12;
+       ++i) {  // past the dispatcher, which would have the module leave the worker alone
     std::string id = "a" + std::to_string(i);
     std::size_t before = worker.peers.size();
     rig.workers.Start({{1000 + i, 0}, 1, kBound, Parsed(Pay(id))});
@@ -230,7 +233,7 @@
   client.Close();
   rig.Until("the worker sees the end", [&] { return at.Ended(); });
   Settles(rig);
-  CHECK(rig.acceptor.connections() == 0);
+  CHECK(rig.listener.connections() == 0);
 }
 
 TEST_CASE("a call has one final answer by its deadline, and a late one of the worker goes nowhere") {
@@ -257,10 +260,10 @@
     client.Say(Check("a1"));
     Peer& at = rig.Request(leaving, "a1");
     if (full) {
-      rig.Know({&staying}, WorkerList::Kind::kFull);
+      rig.Know({&staying}, EndpointList::Kind::kFull);
     } else {
-      rig.Know({&leaving}, WorkerList::Kind::kChanges, WorkerState::kDraining);
-      rig.Know({&staying}, WorkerList::Kind::kChanges);
+      rig.Know({&leaving}, EndpointList::Kind::kChanges, EndpointState::kDraining);
+      rig.Know({&staying}, EndpointList::Kind::kChanges);
     }
     Peer other = rig.Client();
     for (const char* id : {"a2", "a3", "a4", "a5"}) {  // as many as would bring the other its turn
@@ -284,21 +287,22 @@
     rig.Know({&leaving});
     Waiter waiter;
     Micros deadline = rig.loop.Now() + 15'000 * kMs;
-    rig.gateway.Arrive(rig.gateway.NewCall(), {1, -1, deadline, {}, false, Parsed(Pay("a1"))}, waiter);
+    rig.dispatcher.OnRequest(rig.dispatcher.NewRequestId(), {1, -1, deadline, {}, false, Parsed(Pay("a1"))},
+                             waiter);
     if (how == 0) {
-      rig.Know({&staying}, WorkerList::Kind::kChanges);
-      rig.Know({&leaving}, WorkerList::Kind::kChanges, WorkerState::kDraining);
+      rig.Know({&staying}, EndpointList::Kind::kChanges);
+      rig.Know({&leaving}, EndpointList::Kind::kChanges, EndpointState::kDraining);
     } else if (how == 1) {
-      rig.Know({&staying}, WorkerList::Kind::kFull);
+      rig.Know({&staying}, EndpointList::Kind::kFull);
     } else {
-      rig.Know({&staying}, WorkerList::Kind::kChanges);
-      WorkerList moved;
-      moved.kind = WorkerList::Kind::kChanges;
+      rig.Know({&staying}, EndpointList::Kind::kChanges);
+      EndpointList moved;
+      moved.kind = EndpointList::Kind::kChanges;
       moved.entries.resize(1);
       moved.entries[0].uid = "w" + std::to_string(leaving.port);
       moved.entries[0].endpoint = staying.endpoint();
       moved.entries[0].zone = 0;
-      rig.gateway.Learn(moved);
+      rig.dispatcher.OnEndpointUpdate(moved);
     }
     rig.Request(staying, "a1").Say(Answer(200, "one"));
     rig.Until("it is served", [&] { return waiter.served == 1; });
@@ -312,14 +316,14 @@
 TEST_CASE("a worker keeps its identity when its address changes") {
   Rig rig;
   Host before, after;
-  WorkerList list;
-  list.kind = WorkerList::Kind::kFull;
+  EndpointList list;
+  list.kind = EndpointList::Kind::kFull;
   list.entries.resize(1);
   list.entries[0].uid = "s-1";
   list.entries[0].zone = 0;
   for (Host* host : {&before, &after}) {
     list.entries[0].endpoint = host->endpoint();
-    rig.gateway.Learn(list);
+    rig.dispatcher.OnEndpointUpdate(list);
     Peer client = rig.Client();
     client.Say(Check("a1"));
     rig.Request(*host, "a1").Say(Answer(200, "here"));
@@ -496,7 +500,7 @@
   busy.Say(Check("a1"));
   rig.Request(worker, "a1");  // a connection on each side
   Peer idle = rig.Client();
-  rig.Until("both are taken", [&] { return rig.acceptor.connections() == 2; });
+  rig.Until("both are taken", [&] { return rig.listener.connections() == 2; });
   CHECK(rig.descriptors.used() == 3);
   Peer third = rig.Client();
   third.Say(Check("a2"));
@@ -505,7 +509,7 @@
   Peer fourth = rig.Client();  // waits for one of the busy ones to go
   fourth.Say("GET /up HTTP/1.1\r\n\r\n");
   for (int i = 0; i < 5; ++i) rig.loop.RunOnce(0);
-  CHECK(rig.acceptor.connections() == 2);
+  CHECK(rig.listener.connections() == 2);
   busy.Close();
   rig.Hears(fourth, "HTTP/1.1 200 ");
   CHECK_FALSE(third.Ended());
@@ -534,15 +538,15 @@
 TEST_CASE("a worker that is gone is forgotten, and its last answer still arrives") {
   Rig rig;
   Host first;
-  rig.Know({&first}, WorkerList::Kind::kFull);
+  rig.Know({&first}, EndpointList::Kind::kFull);
   Peer client = rig.Client();
   client.Say(Check("a1"));
   Peer& at = rig.Request(first, "a1");
   for (int i = 0; i < 20; ++i) {
     Host next;
-    rig.Know({&next}, WorkerList::Kind::kFull);
-    if (i % 2 == 0) rig.Know({&next}, WorkerList::Kind::kChanges, WorkerState::kGone);
-    CHECK(rig.gateway.workers_known() <= 1);
+    rig.Know({&next}, EndpointList::Kind::kFull);
+    if (i % 2 == 0) rig.Know({&next}, EndpointList::Kind::kChanges, EndpointState::kRemoved);
+    CHECK(rig.dispatcher.known_servers() <= 1);
     CHECK(rig.workers.pools() <= 1);
   }
   at.Say(Answer(200, "late but good"));
@@ -577,16 +581,16 @@
   Peer idle = rig.Client();
   held.Say(Check("a1"));
   rig.Request(worker, "a1");
-  rig.acceptor.Drain(rig.loop.Now() + kBound);
+  rig.listener.Drain(rig.loop.Now() + kBound);
   Peer late = rig.Client();
   late.Say(Check("a2"));
   rig.Request(worker, "a2").Say(Answer(200, "two"));
   rig.Hears(late, "two");
   CHECK(late.Has("Connection: close\r\n"));
-  rig.Until("all are taken", [&] { return late.Ended() && rig.acceptor.connections() >= 2; });
+  rig.Until("all are taken", [&] { return late.Ended() && rig.listener.connections() >= 2; });
   Peer begun = rig.Client();  // its request is in the kernel when the proxy stops accepting
   begun.Say(Check("a3"));
-  rig.acceptor.Close();
+  rig.listener.Close();
   rig.Until("the idle one is closed", [&] { return idle.Ended(); });
   rig.Request(worker, "a3").Say(Answer(200, "three"));
   rig.Hears(begun, "three");
@@ -594,7 +598,7 @@
   rig.Hears(held, "one");
   CHECK(held.Has("Connection: close\r\n"));
   held.Close(), begun.Close(), late.Close();
-  rig.Until("all went", [&] { return rig.acceptor.connections() == 0; });
+  rig.Until("all went", [&] { return rig.listener.connections() == 0; });
 }
 
 sandstand::Settings Asking() {
@@ -685,7 +689,7 @@
   Host stays;
   Host drains;
   rig.Know({&stays, &drains});
-  rig.Know({&drains}, WorkerList::Kind::kChanges, WorkerState::kDraining);
+  rig.Know({&drains}, EndpointList::Kind::kChanges, EndpointState::kDraining);
   rig.registry.Close();  // refused from now on
   for (int i = 1; i <= 8; ++i) {
     std::string id = "b" + std::to_string(i);
@@ -961,10 +965,10 @@
 
 // One console call on its own connection; the status line's code.
 int Ask(Rig& outside, std::uint16_t port, const std::string& line) {
-  Peer caller = Peer::Dial(port);
-  caller.Say(line + " HTTP/1.1\r\nHost: x\r\n\r\n");
-  outside.Until("the console answers", [&] { return caller.Ended(); });
-  return caller.text.size() > 12 ? std::atoi(caller.text.c_str() + 9) : 0;
+  Peer sink = Peer::Dial(port);
+  sink.Say(line + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  outside.Until("the console answers", [&] { return sink.Ended(); });
+  return sink.text.size() > 12 ? std::atoi(sink.text.c_str() + 9) : 0;
 }
 
 // The platform's listening socket, handed down to each process.
@@ -1046,7 +1050,8 @@
   first.reset();
   // The successor knew the worker as held: attach is news to it.
   CHECK(Ask(outside, next, "PUT /_plan-servers/attach?who=s") == 200);
-  outside.Until("attached", [&] { return second.Said().find("attached again") != std::string::npos; });
+  outside.Until("attached",
+                [&] { return second.Said().find("undrained by the operators") != std::string::npos; });
   second.Signal(SIGTERM);
   CHECK(second.Wait() == 0);
   std::remove((std::string(tmp) + "/dappletiller-n0.held.json").c_str());
--- a/tests/net/stream_end_test.cpp
+++ b/tests/net/stream_end_test.cpp
@@ -139,7 +139,7 @@
         Peer client = rig.Client();
         client.Say(safe ? Check("a1") : Pay("a1"));
         Peer& at = rig.Request(worker, "a1");
-        rig.Know({&other}, WorkerList::Kind::kChanges);
+        rig.Know({&other}, EndpointList::Kind::kChanges);
         at.Say(cut.bytes);
         if (reset) {
           at.Abort();
@@ -191,7 +191,7 @@
     rig.Until("it is asked again", [&] { return rig.registry.Accept(); });
     Peer& again = rig.registry.peers[1];
     rig.Hears(again, reset ? "?after=41&" : "?after=42&");
-    CHECK(rig.gateway.workers_known() == (reset ? 0 : 1));
+    CHECK(rig.dispatcher.known_servers() == (reset ? 0 : 1));
   }
 }
 
@@ -233,11 +233,11 @@
         for (std::size_t i = 0; i < burst; ++i) rig.Request(second, "w" + std::to_string(i));
         for (Peer& peer : second.peers) peer.Say(Answer(200, "warm"));
         for (Peer& client : clients) rig.Hears(client, "warm");
-        rig.Know({&second}, WorkerList::Kind::kChanges, WorkerState::kDraining);
-        rig.Know({&first}, WorkerList::Kind::kChanges);
+        rig.Know({&second}, EndpointList::Kind::kChanges, EndpointState::kDraining);
+        rig.Know({&first}, EndpointList::Kind::kChanges);
         for (std::size_t i = 0; i < burst; ++i) clients[i].Say(Check("a" + std::to_string(i)));
         for (std::size_t i = 0; i < burst; ++i) rig.Request(first, "a" + std::to_string(i));
-        rig.Know({&second}, WorkerList::Kind::kChanges);
+        rig.Know({&second}, EndpointList::Kind::kChanges);
         Peer next = rig.Client();
         next.Say(Check("warm-again"));
         Peer* warm = nullptr;
@@ -258,7 +258,7 @@
           if (peer.Has("Request-Id: a")) peer.Say(Answer(503, "", "Not-Started: 1\r\n"));
         }
         for (Peer& client : clients) Leave(client, how);
-        rig.Until("they have left", [&] { return rig.gateway.open_calls() == 0; });
+        rig.Until("they have left", [&] { return rig.dispatcher.open_requests() == 0; });
         Settles(rig);
         // What has begun lies in the kernel by now, also on connections not yet accepted.
         while (second.Accept()) {
@@ -287,7 +287,7 @@
       shut.Open();
       WaitOutsideTheLoop("the connection is up", [&] { return shut.Accept(); });
       Leave(client, how);
-      rig.Until("it has left", [&] { return rig.gateway.open_calls() == 0; });
+      rig.Until("it has left", [&] { return rig.dispatcher.open_requests() == 0; });
       Settles(rig);
       Peer next = rig.Client();
       next.Say(Check("b1"));
@@ -317,8 +317,8 @@
     client.Say(Open("a1"));
     Peer& at = rig.Request(first, "a1");
     Micros sent_by = rig.loop.Now();
-    rig.Know({&shut}, WorkerList::Kind::kChanges);
-    rig.Know({&first}, WorkerList::Kind::kChanges, WorkerState::kDraining);
+    rig.Know({&shut}, EndpointList::Kind::kChanges);
+    rig.Know({&first}, EndpointList::Kind::kChanges, EndpointState::kDraining);
     at.Say(Answer(500));  // it may have run; its connection stays
     rig.Until("the repeat is dialled",
               [&] { return rig.workers.connections() == 2 || client.Has("HTTP/1.1 502 "); });
--- a/tests/net/support.hpp
+++ b/tests/net/support.hpp
@@ -169,11 +169,11 @@
   explicit Rig(const sandstand::Settings& rules = Rules(), Micros idle = kBound, std::size_t connections = 64,
                std::size_t kept = 8, std::size_t places = 64, bool pushed = false, Micros write_for = kBound,
                Micros linger_for = 1'000 * kMs, std::size_t long_body_memory = 0)
-      : gateway(loop, log, rules),
+      : dispatcher(loop, log, rules),
         descriptors(connections, kept),
         long_bodies(std::make_shared<BodyMemory>(long_body_memory)),
-        workers(loop, log, gateway, descriptors, {kBound, idle}, long_bodies),
-        acceptor(loop, log, gateway, descriptors,
+        workers(loop, log, dispatcher, descriptors, {kBound, idle}, long_bodies),
+        listener(loop, log, dispatcher, descriptors,
                  {{kLoopback, 0},
                   {"check", "pay", "open"},
                   {kBound, kBound, kBound},
@@ -185,26 +185,26 @@
                   write_for,
                   linger_for,
                   long_bodies}),
-        discovery(loop, log, gateway,
+        discovery(loop, log, dispatcher,
                   {registry.endpoint(), "discovery", {{"here"}, {"plain"}}, 41, rules.ask_within, pushed}) {
-    gateway.Connect(workers, discovery);
-    acceptor.Listen();
+    dispatcher.Connect(workers, discovery);
+    listener.Listen();
     discovery.Start();
   }
 
-  void Know(const std::vector<Host*>& hosts, WorkerList::Kind kind = WorkerList::Kind::kCached,
-            WorkerState state = WorkerState::kReady) {
-    WorkerList list;
+  void Know(const std::vector<Host*>& hosts, EndpointList::Kind kind = EndpointList::Kind::kCached,
+            EndpointState state = EndpointState::kReady) {
+    EndpointList list;
     list.kind = kind;
     for (Host* host : hosts) {
-      WorkerEntry entry;
+      EndpointEntry entry;
       entry.uid = "w" + std::to_string(host->port);
       entry.endpoint = host->endpoint();
       entry.zone = 0;
       entry.state = state;
       list.entries.push_back(entry);
     }
-    gateway.Learn(list);
+    dispatcher.OnEndpointUpdate(list);
   }
 
   // Runs the loop until something holds, and fails the test if it never does.
@@ -217,7 +217,7 @@
     }
   }
 
-  Peer Client() { return Peer::Dial(acceptor.port()); }
+  Peer Client() { return Peer::Dial(listener.port()); }
   // Waits for a request at a worker, on whichever of its connections, and returns that connection.
   Peer& Request(Host& host, std::string_view id) {
     Peer* found = nullptr;
@@ -237,11 +237,11 @@
   Host registry;
   EventLoop loop;
   Log log{stderr, "test"};
-  Gateway gateway;
+  RequestDispatcher dispatcher;
   DescriptorLimit descriptors;
   std::shared_ptr<BodyMemory> long_bodies;
-  WorkerLinks workers;
-  Acceptor acceptor;
+  UpstreamPool workers;
+  DownstreamListener listener;
   DiscoveryClient discovery;
 };
 
@@ -285,8 +285,8 @@
 
 // No call and no attempt is left behind: every one sent has had its one outcome.
 inline void Settles(Rig& rig) {
-  rig.Until("all is over", [&] { return rig.gateway.table_size() == 0; });
-  CHECK(rig.gateway.open_calls() == 0);
+  rig.Until("all is over", [&] { return rig.dispatcher.table_size() == 0; });
+  CHECK(rig.dispatcher.open_requests() == 0);
 }
 
 // Waits for a condition while the proxy's loop stands still.
@@ -301,11 +301,11 @@
 }
 
 // Waits for the final answer of a call that a test hands to the gateway itself.
-struct Waiter final : Caller {
-  void Served(PayloadRef) override { ++served; }
-  void Rejected(Micros) override { ++other; }
-  void Failed() override { ++other; }
-  bool Gone() const override { return false; }
+struct Waiter final : ResponseSink {
+  void OnResponse(PayloadRef) override { ++served; }
+  void OnRejected(Micros) override { ++other; }
+  void OnFailed() override { ++other; }
+  bool ClientHasLeft() const override { return false; }
   int served = 0;
   int other = 0;
 };
--- a/tests/rig/standins_test.cpp
+++ b/tests/rig/standins_test.cpp
@@ -25,7 +25,7 @@
   CHECK(*answered == 0);
 }
 
-TEST_CASE("a stream that is freed late doesn't forget the caller who has its port by now") {
+TEST_CASE("a stream that is freed late doesn't forget the sink who has its port by now") {
   Callers callers;
   callers.Say({80, 4000}, 1, "p1");
   callers.Say({80, 4000}, 2, "p7");
