--- a/src/proxy/parts.cpp
+++ b/src/proxy/components.cpp
@@ -1,4 +1,4 @@
-#include "proxy/parts.hpp"
+#include "proxy/components.hpp"
 
 #include <utility>
 
@@ -7,19 +7,20 @@
 
 namespace dappletiller {
 
-FeedParts::FeedParts(EventLoop& loop, Log& log, const std::string& name, config_feed::FollowerOptions options,
-                     DownstreamListener& listener, RequestDispatcher& dispatcher)
+FeedComponents::FeedComponents(EventLoop& loop, Log& log, const std::string& name,
+                               config_feed::FollowerOptions options, DownstreamListener& listener,
+                               RequestDispatcher& dispatcher)
     : follower(std::move(options)),
       applier(log, follower, listener, dispatcher),
       client(loop, log, follower, name, applier) {}
 
-config_feed::Scope FeedParts::MakeScope(const operators::SettingsFeedOptions& options) {
+config_feed::Scope FeedComponents::MakeScope(const operators::SettingsFeedOptions& options) {
   config_feed::Scope scope;
   scope.services.insert(options.services.begin(), options.services.end());
   return scope;
 }
 
-ProxyParts::ProxyParts(Log& program_log, Config loaded, std::string operator_file)
+ProxyComponents::ProxyComponents(Log& program_log, Config loaded, std::string operator_file)
     : log(program_log),
       config(std::move(loaded)),
       operator_path(std::move(operator_file)),
@@ -37,25 +38,25 @@
   if (file.fleet) AddMembership(std::move(*file.fleet));
 }
 
-void ProxyParts::AddFeed(const operators::SettingsFeedOptions& options) {
+void ProxyComponents::AddFeed(const operators::SettingsFeedOptions& options) {
   config_feed::FollowerOptions follower;
   follower.self = config.name;
   follower.nearby = options.nearby;
   follower.others = options.others;
   follower.seed = config.settings.seed ^ static_cast<std::uint64_t>(loop.Now());
-  follower.scope = FeedParts::MakeScope(options);
+  follower.scope = FeedComponents::MakeScope(options);
   follower.snapshot_rate = options.snapshot_rate;
   feed.emplace(loop, log, config.name, std::move(follower), listener, dispatcher);
 }
 
-void ProxyParts::AddMembership(operators::FleetOptions options) {
+void ProxyComponents::AddMembership(operators::FleetOptions options) {
   const auto zone = static_cast<std::size_t>(config.settings.zone);
   const std::string zone_name = zone < config.names.zones.size() ? config.names.zones[zone] : std::string();
   membership.emplace(loop, log, std::move(options), config.name, zone_name,
                      static_cast<QuotaShareObserver&>(*this));
 }
 
-void ProxyParts::Start() {
+void ProxyComponents::Start() {
   if (const auto inherited = InheritedSocket()) {
     listener.Inherit(*inherited);
   } else {
--- a/src/proxy/parts.hpp
+++ b/src/proxy/components.hpp
@@ -1,7 +1,7 @@
 // All parts of one proxy, wired together. Owns them; they refer to one another, so it is neither copied nor
 // moved.
-#ifndef DAPPLETILLER_PROXY_PARTS_HPP_
-#define DAPPLETILLER_PROXY_PARTS_HPP_
+#ifndef DAPPLETILLER_PROXY_COMPONENTS_HPP_
+#define DAPPLETILLER_PROXY_COMPONENTS_HPP_
 
 #include <memory>
 #include <optional>
@@ -25,9 +25,9 @@
 namespace dappletiller {
 
 // The configuration feed's parts, in a proxy that follows it.
-struct FeedParts {
-  FeedParts(EventLoop& loop, Log& log, const std::string& name, config_feed::FollowerOptions options,
-            DownstreamListener& listener, RequestDispatcher& dispatcher);
+struct FeedComponents {
+  FeedComponents(EventLoop& loop, Log& log, const std::string& name, config_feed::FollowerOptions options,
+                 DownstreamListener& listener, RequestDispatcher& dispatcher);
   // The operator file's scope.
   static config_feed::Scope MakeScope(const operators::SettingsFeedOptions& options);
 
@@ -36,12 +36,12 @@
   FeedClient client;
 };
 
-struct ProxyParts final : private QuotaShareObserver {
+struct ProxyComponents final : private QuotaShareObserver {
   // Throws ConfigError, std::invalid_argument, operators::OperatorError or std::system_error.
   // `operator_path`: empty without an operator file.
-  ProxyParts(Log& log, Config loaded, std::string operator_path);
-  ProxyParts(const ProxyParts&) = delete;
-  ProxyParts& operator=(const ProxyParts&) = delete;
+  ProxyComponents(Log& log, Config loaded, std::string operator_path);
+  ProxyComponents(const ProxyComponents&) = delete;
+  ProxyComponents& operator=(const ProxyComponents&) = delete;
 
   // Begins to serve, with the servers that the configuration lists. Throws std::system_error or ConfigError.
   void Start();
@@ -57,7 +57,7 @@
   DownstreamListener listener;
   DiscoveryClient discovery;
   std::optional<MembershipTransport> membership;
-  std::optional<FeedParts> feed;
+  std::optional<FeedComponents> feed;
 
  private:
   void AddFeed(const operators::SettingsFeedOptions& options);
@@ -69,4 +69,4 @@
 
 }  // namespace dappletiller
 
-#endif  // DAPPLETILLER_PROXY_PARTS_HPP_
+#endif  // DAPPLETILLER_PROXY_COMPONENTS_HPP_
--- a/src/proxy/console_commands.cpp
+++ b/src/proxy/console_commands.cpp
@@ -35,28 +35,29 @@
 }
 
 ConsoleReply ConsoleCommands::SetLameDuck(bool on) {
-  if (on != parts_.listener.lameduck()) {
-    parts_.log.Info("lame duck %s: %zu client connections", on ? "on" : "off", parts_.listener.connections());
+  if (on != components_.listener.lameduck()) {
+    components_.log.Info("lame duck %s: %zu client connections", on ? "on" : "off",
+                         components_.listener.connections());
   }
-  parts_.listener.Lameduck(on);
+  components_.listener.Lameduck(on);
   return {200, on ? "lame duck" : "serving"};
 }
 
 ConsoleReply ConsoleCommands::DrainServer(const std::string& uid) {
-  if (!parts_.dispatcher.Drain(uid)) return UnknownServer();
-  storage_.Save(parts_.dispatcher.drains());
+  if (!components_.dispatcher.Drain(uid)) return UnknownServer();
+  storage_.Save(components_.dispatcher.drains());
   return {200, "detached"};
 }
 
 ConsoleReply ConsoleCommands::UndrainServer(const std::string& uid) {
-  if (!parts_.dispatcher.Undrain(uid)) return UnknownServer();
-  storage_.Save(parts_.dispatcher.drains());
+  if (!components_.dispatcher.Undrain(uid)) return UnknownServer();
+  storage_.Save(components_.dispatcher.drains());
   return {200, "attached"};
 }
 
 ConsoleReply ConsoleCommands::DoFleet(const console::Command& command) {
-  if (!parts_.membership) return {404, "this process keeps no view of a fleet"};
-  MembershipTransport& membership = *parts_.membership;
+  if (!components_.membership) return {404, "this process keeps no view of a fleet"};
+  MembershipTransport& membership = *components_.membership;
   if (command.verb == console::Verb::kFleetLeave) {
     membership.Leave();
     return {200, "left the fleet; the process serves on"};
@@ -69,8 +70,8 @@
 }
 
 ConsoleReply ConsoleCommands::ShowSettings() const {
-  if (!parts_.feed) return {404, "this process takes no settings from a feed"};
-  return {200, parts_.feed->client.StatusJson(), kJson};
+  if (!components_.feed) return {404, "this process takes no settings from a feed"};
+  return {200, components_.feed->client.StatusJson(), kJson};
 }
 
 }  // namespace dappletiller
--- a/src/proxy/console_commands.hpp
+++ b/src/proxy/console_commands.hpp
@@ -3,15 +3,16 @@
 #define DAPPLETILLER_PROXY_CONSOLE_COMMANDS_HPP_
 
 #include "admin/console.hpp"
+#include "proxy/components.hpp"
 #include "proxy/drain_state_storage.hpp"
-#include "proxy/parts.hpp"
 
 namespace dappletiller {
 
 class ConsoleCommands final : public ConsoleHandler {
  public:
   // Both must outlive it.
-  ConsoleCommands(ProxyParts& parts, const DrainStateStorage& storage) : parts_(parts), storage_(storage) {}
+  ConsoleCommands(ProxyComponents& components, const DrainStateStorage& storage)
+      : components_(components), storage_(storage) {}
 
   // From here on the proxy says that it is not ready.
   void OnShutdown() { shutting_down_ = true; }
@@ -24,7 +25,7 @@
   ConsoleReply DoFleet(const console::Command& command);
   ConsoleReply ShowSettings() const;
 
-  ProxyParts& parts_;
+  ProxyComponents& components_;
   const DrainStateStorage& storage_;
   bool shutting_down_ = false;
 };
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -18,39 +18,40 @@
 
 void GracefulShutdown::Begin() {
   has_begun_ = true;
-  parts_.log.Info("leaving: %zu calls open, %zu client connections", parts_.dispatcher.open_requests(),
-                  parts_.listener.connections());
-  const Micros longest_deadline = std::min(parts_.config.longest_deadline, kMaxDeadline);
-  answer_by_ = parts_.loop.Now() + longest_deadline + kAnswerAfterDeadline;
-  parts_.listener.Drain(answer_by_);
-  if (parts_.membership) parts_.membership->Leave();
+  components_.log.Info("leaving: %zu calls open, %zu client connections",
+                       components_.dispatcher.open_requests(), components_.listener.connections());
+  const Micros longest_deadline = std::min(components_.config.longest_deadline, kMaxDeadline);
+  answer_by_ = components_.loop.Now() + longest_deadline + kAnswerAfterDeadline;
+  components_.listener.Drain(answer_by_);
+  if (components_.membership) components_.membership->Leave();
   // With the platform's socket a successor is accepting clients already.
-  if (parts_.listener.inherited()) parts_.listener.StopAccepting();
+  if (components_.listener.inherited()) components_.listener.StopAccepting();
   timer_.Set(kAcceptFor, [this] { CheckFinished(); });
 }
 
 // A request that is still open at answer_by_, because its deadline lies behind that, is answered then: after
 // it the process may be gone.
 void GracefulShutdown::CheckFinished() {
-  parts_.listener.Close();
-  const Micros now = parts_.loop.Now();
-  if (now >= answer_by_) parts_.dispatcher.EndOpenRequests();
+  components_.listener.Close();
+  const Micros now = components_.loop.Now();
+  if (now >= answer_by_) components_.dispatcher.EndOpenRequests();
   if (IsFinished()) {
-    parts_.loop.Stop();
+    components_.loop.Stop();
     return;
   }
   if (now >= answer_by_ + kLastAnswersTime) {
-    parts_.log.Info("out of time: %zu client connections end as they are", parts_.listener.connections());
-    parts_.loop.Stop();
+    components_.log.Info("out of time: %zu client connections end as they are",
+                         components_.listener.connections());
+    components_.loop.Stop();
     return;
   }
   timer_.Set(kCheckInterval, [this] { CheckFinished(); });
 }
 
 bool GracefulShutdown::IsFinished() const {
-  const bool has_left_fleet = !parts_.membership || parts_.membership->has_left();
-  const bool no_clients = parts_.listener.closed() && parts_.listener.connections() == 0;
-  return parts_.dispatcher.open_requests() == 0 && no_clients && has_left_fleet;
+  const bool has_left_fleet = !components_.membership || components_.membership->has_left();
+  const bool no_clients = components_.listener.closed() && components_.listener.connections() == 0;
+  return components_.dispatcher.open_requests() == 0 && no_clients && has_left_fleet;
 }
 
 }  // namespace dappletiller
--- a/src/proxy/graceful_shutdown.hpp
+++ b/src/proxy/graceful_shutdown.hpp
@@ -3,14 +3,14 @@
 #ifndef DAPPLETILLER_PROXY_GRACEFUL_SHUTDOWN_HPP_
 #define DAPPLETILLER_PROXY_GRACEFUL_SHUTDOWN_HPP_
 
-#include "proxy/parts.hpp"
+#include "proxy/components.hpp"
 
 namespace dappletiller {
 
 class GracefulShutdown {
  public:
-  // `parts` must outlive it.
-  explicit GracefulShutdown(ProxyParts& parts) : parts_(parts), timer_(parts.loop) {}
+  // `components` must outlive it.
+  explicit GracefulShutdown(ProxyComponents& components) : components_(components), timer_(components.loop) {}
 
   bool has_begun() const { return has_begun_; }
   // Stops the event loop when all is answered, or out of time. To be called once.
@@ -20,7 +20,7 @@
   void CheckFinished();
   bool IsFinished() const;
 
-  ProxyParts& parts_;
+  ProxyComponents& components_;
   Timer timer_;
   bool has_begun_ = false;
   Micros answer_by_ = 0;  // on the loop's clock
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -7,11 +7,11 @@
 #include "admin/console.hpp"
 #include "io/log.hpp"
 #include "io/signals.hpp"
+#include "proxy/components.hpp"
 #include "proxy/console_commands.hpp"
 #include "proxy/drain_state_storage.hpp"
 #include "proxy/environment.hpp"
 #include "proxy/graceful_shutdown.hpp"
-#include "proxy/parts.hpp"
 #include "proxy/reload.hpp"
 
 namespace dappletiller {
@@ -20,47 +20,47 @@
 class Proxy final : private SignalHandler {
  public:
   Proxy(Log& log, Config config, const std::string& operator_path)
-      : parts_(log, std::move(config), operator_path),
-        signals_(parts_.loop, *this),
-        drain_state_(log, parts_.config.name),
-        commands_(parts_, drain_state_),
-        console_(parts_.loop, log, commands_),
-        shutdown_(parts_) {}
+      : components_(log, std::move(config), operator_path),
+        signals_(components_.loop, *this),
+        drain_state_(log, components_.config.name),
+        commands_(components_, drain_state_),
+        console_(components_.loop, log, commands_),
+        shutdown_(components_) {}
 
   void Run() {
-    Log& log = parts_.log;
+    Log& log = components_.log;
     signals_.Start();
-    if (auto drains = drain_state_.Load()) parts_.dispatcher.RestoreDrains(std::move(*drains));
-    parts_.Start();
-    if (const auto where = ConsoleEndpoint(parts_.config)) {
+    if (auto drains = drain_state_.Load()) components_.dispatcher.RestoreDrains(std::move(*drains));
+    components_.Start();
+    if (const auto where = ConsoleEndpoint(components_.config)) {
       console_.Listen(*where);
       log.Important("console on port %u", console_.port());
     }
     StartMembership();
-    if (parts_.feed) parts_.feed->client.Start();
-    log.Important("started as %s on port %u with %zu workers known", parts_.config.name.c_str(),
-                  parts_.listener.port(), parts_.config.known.entries.size());
-    parts_.loop.Run();
+    if (components_.feed) components_.feed->client.Start();
+    log.Important("started as %s on port %u with %zu workers known", components_.config.name.c_str(),
+                  components_.listener.port(), components_.config.known.entries.size());
+    components_.loop.Run();
     log.Important("stopped");
   }
 
  private:
   void StartMembership() {
-    if (!parts_.membership) return;
-    parts_.membership->Start();
-    const membership::MemberRecord& self = parts_.membership->membership().self();
-    parts_.log.Important("fleet on port %u as %s at %s", parts_.membership->port(), self.name.c_str(),
-                         self.address.c_str());
+    if (!components_.membership) return;
+    components_.membership->Start();
+    const membership::MemberRecord& self = components_.membership->membership().self();
+    components_.log.Important("fleet on port %u as %s at %s", components_.membership->port(),
+                              self.name.c_str(), self.address.c_str());
   }
 
-  void OnReloadSignal() override { Reload(&parts_); }
+  void OnReloadSignal() override { Reload(&components_); }
   void OnStopSignal() override {
     if (shutdown_.has_begun()) return;
     commands_.OnShutdown();
     shutdown_.Begin();
   }
 
-  ProxyParts parts_;
+  ProxyComponents components_;
   SignalWatcher signals_;
   DrainStateStorage drain_state_;
   ConsoleCommands commands_;
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -15,68 +15,70 @@
   operators::OperatorFile operator_file;  // empty without one
 };
 
-std::optional<LoadedFiles> LoadFiles(const ProxyParts& parts) {
+std::optional<LoadedFiles> LoadFiles(const ProxyComponents& components) {
   LoadedFiles files;
   try {
     files.config = LoadConfig();
-    if (!parts.operator_path.empty()) files.operator_file = operators::LoadOperatorFile(parts.operator_path);
+    if (!components.operator_path.empty())
+      files.operator_file = operators::LoadOperatorFile(components.operator_path);
   } catch (const std::exception& error) {  // a bad file must not end a proxy that serves
-    parts.log.Important("reload: the old configuration stays: %s", error.what());
+    components.log.Important("reload: the old configuration stays: %s", error.what());
     return std::nullopt;
   }
   return files;
 }
 
-void ReloadClasses(const Config& config, ProxyParts* parts) {
+void ReloadClasses(const Config& config, ProxyComponents* components) {
   const ListenerOptions options = MakeListenerOptions(config, nullptr);
-  parts->listener.Retune(options.classes, options.patience, options.effects);
-  if (parts->feed) parts->feed->applier.ReapplyClasses();
+  components->listener.Retune(options.classes, options.patience, options.effects);
+  if (components->feed) components->feed->applier.ReapplyClasses();
 }
 
-void ReloadConfig(const Config& config, ProxyParts* parts) {
-  const bool settings_changed = config.settings_text != parts->config.settings_text;
-  const bool needs_restart = settings_changed || !(config.listen == parts->config.listen);
-  const bool discovery_moves = !(config.discovery == parts->config.discovery);
-  parts->descriptors.Resize(ConnectionLimit(config), ReservedForClients(config));
-  parts->listener.Resize(ClientConnectionSlots(config));
-  parts->upstream.SetLimits(MakeUpstreamLimits(config));
-  if (discovery_moves) parts->discovery.Move(config.discovery, config.discovery_text);
-  if (settings_changed) ReloadClasses(config, parts);
-  parts->log.Important("reload: done, discovery %s %s%s", discovery_moves ? "moves to" : "stays at",
-                       config.discovery_text.c_str(),
-                       needs_restart ? "; classes are taken, the rest of what changed needs a restart" : "");
+void ReloadConfig(const Config& config, ProxyComponents* components) {
+  const bool settings_changed = config.settings_text != components->config.settings_text;
+  const bool needs_restart = settings_changed || !(config.listen == components->config.listen);
+  const bool discovery_moves = !(config.discovery == components->config.discovery);
+  components->descriptors.Resize(ConnectionLimit(config), ReservedForClients(config));
+  components->listener.Resize(ClientConnectionSlots(config));
+  components->upstream.SetLimits(MakeUpstreamLimits(config));
+  if (discovery_moves) components->discovery.Move(config.discovery, config.discovery_text);
+  if (settings_changed) ReloadClasses(config, components);
+  components->log.Important(
+      "reload: done, discovery %s %s%s", discovery_moves ? "moves to" : "stays at",
+      config.discovery_text.c_str(),
+      needs_restart ? "; classes are taken, the rest of what changed needs a restart" : "");
 }
 
 // Another scope or other servers; what is in force stays until the new scope is here whole.
-void ReloadFeed(const operators::SettingsFeedOptions& options, ProxyParts* parts) {
-  const Micros now = parts->loop.Now();
-  parts->feed->follower.SetServers(now, options.nearby, options.others);
-  parts->feed->follower.SetScope(now, FeedParts::MakeScope(options));
-  parts->feed->client.RestartRequest();
+void ReloadFeed(const operators::SettingsFeedOptions& options, ProxyComponents* components) {
+  const Micros now = components->loop.Now();
+  components->feed->follower.SetServers(now, options.nearby, options.others);
+  components->feed->follower.SetScope(now, FeedComponents::MakeScope(options));
+  components->feed->client.RestartRequest();
 }
 
-void ReloadOperatorFile(operators::OperatorFile file, ProxyParts* parts) {
-  Log& log = parts->log;
+void ReloadOperatorFile(operators::OperatorFile file, ProxyComponents* components) {
+  Log& log = components->log;
   log.Configure(file.log_json ? Log::Format::kJson : Log::Format::kText, Log::ParseLevel(file.log_level));
-  bool complete = parts->membership.has_value() == file.fleet.has_value();
-  if (parts->membership && file.fleet) complete = parts->membership->Reload(std::move(*file.fleet));
-  if (parts->feed && file.settings_feed) ReloadFeed(*file.settings_feed, parts);
-  if (parts->feed.has_value() != file.settings_feed.has_value()) {
+  bool complete = components->membership.has_value() == file.fleet.has_value();
+  if (components->membership && file.fleet) complete = components->membership->Reload(std::move(*file.fleet));
+  if (components->feed && file.settings_feed) ReloadFeed(*file.settings_feed, components);
+  if (components->feed.has_value() != file.settings_feed.has_value()) {
     log.Info("reload: [settings_feed] needs a restart to come or go");
   }
-  log.Important("reload: %s read%s", parts->operator_path.c_str(),
+  log.Important("reload: %s read%s", components->operator_path.c_str(),
                 complete ? "" : "; the fleet's name, addresses and parts need a restart to change");
 }
 
 }  // namespace
 
-void Reload(ProxyParts* parts) {
-  auto files = LoadFiles(*parts);
+void Reload(ProxyComponents* components) {
+  auto files = LoadFiles(*components);
   if (!files) return;
-  ReloadConfig(files->config, parts);
-  if (!parts->operator_path.empty()) ReloadOperatorFile(std::move(files->operator_file), parts);
+  ReloadConfig(files->config, components);
+  if (!components->operator_path.empty()) ReloadOperatorFile(std::move(files->operator_file), components);
   // The module goes on with the settings, and the listener with the address, that they have.
-  parts->config.discovery = files->config.discovery;
+  components->config.discovery = files->config.discovery;
 }
 
 }  // namespace dappletiller
--- a/src/proxy/reload.hpp
+++ b/src/proxy/reload.hpp
@@ -3,13 +3,13 @@
 #ifndef DAPPLETILLER_PROXY_RELOAD_HPP_
 #define DAPPLETILLER_PROXY_RELOAD_HPP_
 
-#include "proxy/parts.hpp"
+#include "proxy/components.hpp"
 
 namespace dappletiller {
 
 // Reads both files anew. What the decision module was made with, and the address that clients know, change
 // only with a restart; the log says so. A file that is at fault changes nothing, and is logged.
-void Reload(ProxyParts* parts);
+void Reload(ProxyComponents* components);
 
 }  // namespace dappletiller
 
