--- a/tests/config_feed/change_cost.cpp
+++ b/tests/config_feed/change_cost.cpp
@@ -161,22 +161,21 @@
   sandstand::Balancer module(settings);
   std::unordered_map<std::string, int> places;
   std::vector<sandstand::Action> actions;
-  config_feed::Micros now = 0;
+  Micros now = 0;
   auto take = [&](const std::string& text) {
     auto page = config_feed::ParsePage(text);
-    for (const config_feed::EffectiveEntry& effect :
-         config_feed::ResolveEntries(follower.held(), follower.scope(), follower.Answered(now, *page, 0))) {
-      std::string why;
-      auto tenant = config_feed::ParseTenant(effect.value.value_or(""), &why);
-      int place = places.try_emplace(effect.name, static_cast<int>(places.size())).first->second;
-      module.Handle(now, sandstand::TenantChanged{place, true, {tenant->portion, tenant->quota_per_s}},
+    for (const config_feed::EffectiveEntry& entry :
+         config_feed::ResolveEntries(follower.store(), follower.scope(), follower.OnPage(now, *page, 0))) {
+      auto tenant = config_feed::ParseTenant(entry.value.value_or(""));
+      int place = places.try_emplace(entry.name, static_cast<int>(places.size())).first->second;
+      module.Handle(now, sandstand::TenantChanged{place, true, {tenant->share, tenant->quota_per_second}},
                     &actions);
     }
   };
   std::uint64_t whole_bytes = 0, bytes = 0, changes = 0;
-  while (follower.held().head().version < origin.head().version) {
-    auto ask = follower.Next(now += 1'000);
-    std::string text = config_feed::WritePage(origin.MakePage(ask->question, config_feed::kMaxPageSize));
+  while (follower.store().head().version < origin.head().version) {
+    auto request = follower.NextRequest(now += 1'000);
+    std::string text = config_feed::WritePage(origin.MakePage(request->page, config_feed::kMaxPageSize));
     whole_bytes += text.size();
     take(text);
   }
@@ -187,16 +186,16 @@
     state.PauseTiming();
     ++serial;
     origin.Publish(serial, 7, {TenantEntry(0, static_cast<double>(serial % 1'000), services)});
-    auto ask = follower.Next(now += 1'000'000);
-    std::string text = config_feed::WritePage(origin.MakePage(ask->question, config_feed::kMaxPageSize));
-    bytes += text.size() + config_feed::WriteRequest({"p", ask->question, 2'000}).size() + 130;
+    auto request = follower.NextRequest(now += 1'000'000);
+    std::string text = config_feed::WritePage(origin.MakePage(request->page, config_feed::kMaxPageSize));
+    bytes += text.size() + config_feed::WriteRequest({"p", request->page, 2'000}).size() + 130;
     ++changes;
     state.ResumeTiming();
     take(text);
   }
   state.counters["bytes"] = static_cast<double>(bytes) / static_cast<double>(changes);
   state.counters["whole_bytes"] = static_cast<double>(whole_bytes);
-  state.counters["entries"] = static_cast<double>(follower.held().size());
+  state.counters["entries"] = static_cast<double>(follower.store().size());
   state.counters["heap_mb"] = after - before;
 }
 BENCHMARK(FeedChangeInProxy)
