--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -8,7 +8,7 @@
 #include <exception>
 #include <memory>
 
-#include "wire.hpp"
+#include "simulator_adapter/wire_codec.hpp"
 
 namespace dappletiller {
 namespace {
@@ -134,7 +134,7 @@
   // A kind that the settings don't name still is a kind of its own.
   entry.kind = value.isMember("model") ? PlaceOf(names.kinds, Text(value, "model")) : -1;
   if (value.isMember("pod_group")) entry.cell = static_cast<int>(Number(value, "pod_group"));
-  if (value.isMember("capacity_hint")) entry.size = Number(value, "capacity_hint");
+  if (value.isMember("capacity_hint")) entry.concurrency = Number(value, "capacity_hint");
   if (value.isMember("boot_ms")) entry.boot_unix = static_cast<Micros>(Number(value, "boot_ms")) * 1000;
   return entry;
 }
@@ -144,7 +144,7 @@
   list.version = static_cast<std::uint64_t>(Number(value, "rev"));
   const Json::Value& all = Member(value, "all");
   if (!all.isBool()) throw ConfigError("all is neither true nor false");
-  list.kind = all.asBool() ? EndpointList::Kind::kFull : EndpointList::Kind::kChanges;
+  list.kind = all.asBool() ? EndpointList::Kind::kSnapshot : EndpointList::Kind::kDelta;
   const Json::Value& targets = Member(value, "targets");
   if (!targets.isArray()) throw ConfigError("targets is not a list");
   for (const Json::Value& target : targets) list.entries.push_back(ReadEntry(target, names));
@@ -173,7 +173,7 @@
   std::uint64_t number = 0;
   auto [end, failed] = std::from_chars(seed.data(), seed.data() + seed.size(), number, 16);
   if (failed != std::errc() || end != seed.data() + seed.size()) throw ConfigError("seed is not a number");
-  config.settings = sandstand::wire::ParseSettings(lines, number);
+  config.settings = balancer::wire::ParseSettings(lines, number);
   config.settings_text = std::move(lines);
   for (const Json::Value& c : Member(settings, "classes")) config.classes.push_back(Text(c, "name"));
   // Sites without tenants may leave the list out.
@@ -185,7 +185,7 @@
   config.idle_timeout = static_cast<Micros>(Number(limits, "connIdle"));
   config.answer_grace = static_cast<Micros>(Number(Member(settings, "invariants"), "graceToAnswer"));
   for (const auto& c : config.settings.classes) {
-    config.longest_deadline = std::max(config.longest_deadline, c.deadline);
+    config.longest_deadline = std::max(config.longest_deadline, c.client_timeout);
   }
   config.known = ReadList(Member(root, "known"), config.names);
   config.known.kind = EndpointList::Kind::kCached;
--- a/src/config/platform_config.hpp
+++ b/src/config/platform_config.hpp
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "dappletiller/balancer.hpp"
 #include "dispatch/types.hpp"
-#include "sandstand/balancer.hpp"
 
 namespace dappletiller {
 
@@ -34,7 +34,7 @@
   std::size_t sockets = 1024;
   std::size_t memory = 0;  // bytes that the process may take; 0: not told
   EndpointList known;
-  sandstand::Settings settings;
+  balancer::Settings settings;
   std::string settings_text;  // the same as path=value lines, to tell whether they have changed
   std::vector<std::string> classes;
   std::vector<std::string> tenants;  // names, by place; may be none
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -109,7 +109,7 @@
   // A late answer to a fetch must not undo what the long poll has brought since.
   const bool is_old = !is_long_poll && !needs_whole_list_ && list.version < version_;
   if (!is_old) version_ = list.version;
-  if (list.kind == EndpointList::Kind::kFull) needs_whole_list_ = false;
+  if (list.kind == EndpointList::Kind::kSnapshot) needs_whole_list_ = false;
   if (is_long_poll) {
     long_poll_failures_ = 0;
     // Leaves before the list takes effect: it has to come within 200 ms, whatever the list sets off.
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -13,57 +13,57 @@
 constexpr Micros kTellEvery = 1'000'000;
 
 // The seam between the names of this code and the module's.
-sandstand::Outcome Translate(AttemptOutcome end) {
+balancer::Outcome Translate(AttemptOutcome end) {
   switch (end) {
     case AttemptOutcome::kAnswered:
-      return sandstand::Outcome::kServed;
+      return balancer::Outcome::kServed;
     case AttemptOutcome::kError:
-      return sandstand::Outcome::kError;
+      return balancer::Outcome::kError;
     case AttemptOutcome::kRejected:
-      return sandstand::Outcome::kFull;
+      return balancer::Outcome::kRejected;
     case AttemptOutcome::kTimedOut:
-      return sandstand::Outcome::kTimeout;
+      return balancer::Outcome::kTimeout;
     case AttemptOutcome::kUnreachable:
-      return sandstand::Outcome::kConnectFailed;
+      return balancer::Outcome::kConnectFailed;
     case AttemptOutcome::kReset:
-      return sandstand::Outcome::kReset;
+      return balancer::Outcome::kReset;
     case AttemptOutcome::kCancelled:
-      return sandstand::Outcome::kCancelled;
+      return balancer::Outcome::kCancelled;
     case AttemptOutcome::kNotSent:
-      return sandstand::Outcome::kNotSent;
+      return balancer::Outcome::kNotSent;
   }
-  return sandstand::Outcome::kReset;
+  return balancer::Outcome::kReset;
 }
 
-sandstand::ServerState Translate(EndpointState state) {
+balancer::ServerState Translate(EndpointState state) {
   switch (state) {
     case EndpointState::kReady:
-      return sandstand::ServerState::kReady;
+      return balancer::ServerState::kReady;
     case EndpointState::kDraining:
-      return sandstand::ServerState::kDraining;
+      return balancer::ServerState::kDraining;
     case EndpointState::kRemoved:
       break;
   }
-  return sandstand::ServerState::kGone;
+  return balancer::ServerState::kRemoved;
 }
 
-sandstand::ListUpdate::Kind Translate(EndpointList::Kind kind) {
+balancer::EndpointListUpdate::Kind Translate(EndpointList::Kind kind) {
   switch (kind) {
-    case EndpointList::Kind::kChanges:
-      return sandstand::ListUpdate::Kind::kChanges;
-    case EndpointList::Kind::kFull:
-      return sandstand::ListUpdate::Kind::kFull;
+    case EndpointList::Kind::kDelta:
+      return balancer::EndpointListUpdate::Kind::kDelta;
+    case EndpointList::Kind::kSnapshot:
+      return balancer::EndpointListUpdate::Kind::kSnapshot;
     case EndpointList::Kind::kCached:
-      return sandstand::ListUpdate::Kind::kCached;
+      return balancer::EndpointListUpdate::Kind::kCached;
     case EndpointList::Kind::kFailed:
       break;
   }
-  return sandstand::ListUpdate::Kind::kFailed;
+  return balancer::EndpointListUpdate::Kind::kFailed;
 }
 
 }  // namespace
 
-RequestDispatcher::RequestDispatcher(EventLoop& loop, Log& log, const sandstand::Settings& settings)
+RequestDispatcher::RequestDispatcher(EventLoop& loop, Log& log, const balancer::Settings& settings)
     : loop_(loop), log_(log), balancer_(settings), wake_(loop), log_counters_(loop) {}
 
 void RequestDispatcher::Connect(UpstreamTransport& upstream, EndpointSource& endpoints) {
@@ -102,17 +102,17 @@
 
 // Carrying an action out may bring the next event at once (a connection refused on the spot). Such an event
 // waits until the actions at hand are done: the module must not be entered twice, and order counts.
-void RequestDispatcher::Deliver(sandstand::Event event) {
+void RequestDispatcher::Deliver(balancer::Event event) {
   events_.push_back(std::move(event));
   if (delivering_) return;
   delivering_ = true;
-  std::vector<sandstand::Action> actions;
+  std::vector<balancer::Action> actions;
   while (!events_.empty()) {
-    sandstand::Event next = std::move(events_.front());
+    balancer::Event next = std::move(events_.front());
     events_.pop_front();
     actions.clear();
     balancer_.Handle(loop_.Now(), next, &actions);
-    for (const sandstand::Action& action : actions) {
+    for (const balancer::Action& action : actions) {
       std::visit([this](const auto& a) { Execute(a); }, action);
     }
   }
@@ -126,7 +126,7 @@
   request.sink = &sink;
   request.payload = std::move(incoming.payload);
   ++open_requests_;
-  sandstand::RequestArrived event;
+  balancer::RequestArrived event;
   event.id = id;
   event.request_class = incoming.request_class;
   event.tenant = incoming.tenant;
@@ -160,7 +160,7 @@
 void RequestDispatcher::OnClientDisconnected(RequestId id) {
   if (CloseRequest(id) == nullptr) return;
   ++counters().left;
-  Deliver(sandstand::ClientLeft{id});
+  Deliver(balancer::ClientDisconnected{id});
   RevokeUnsentAttempts(id);
   EraseIfOver(id);
 }
@@ -178,7 +178,7 @@
     if (sink == nullptr) continue;
     ++(sent ? counters().failed : counters().refused);
     sent ? sink->OnFailed() : sink->OnRejected(0);
-    Deliver(sandstand::ClientLeft{id});
+    Deliver(balancer::ClientDisconnected{id});
     RevokeUnsentAttempts(id);
     EraseIfOver(id);
   }
@@ -232,7 +232,7 @@
   ++counters().ended[static_cast<std::size_t>(outcome)];
   // The first answer of a worker is the call's; a later one comes to nobody.
   ResponseSink* sink = outcome == AttemptOutcome::kAnswered ? CloseRequest(key.request) : nullptr;
-  sandstand::AttemptEnded event;
+  balancer::AttemptEnded event;
   event.id = key.request;
   event.attempt = key.number;
   event.outcome = Translate(outcome);
@@ -248,10 +248,10 @@
 }
 
 void RequestDispatcher::OnEndpointUpdate(const EndpointList& list) {
-  bool told = list.kind == EndpointList::Kind::kFull || list.kind == EndpointList::Kind::kChanges;
+  bool told = list.kind == EndpointList::Kind::kSnapshot || list.kind == EndpointList::Kind::kDelta;
   // Guards against the module placing every worker anew, each second, for a watch that had nothing to tell.
   // The first answer always counts: from it the module knows that it is subscribed.
-  bool news = listed_at_ == 0 || list.kind != EndpointList::Kind::kChanges || !list.entries.empty();
+  bool news = listed_at_ == 0 || list.kind != EndpointList::Kind::kDelta || !list.entries.empty();
   if (told) listed_at_ = loop_.Now();
   if (news) ApplyEndpoints(list);
 }
@@ -279,13 +279,13 @@
   auto it = servers_by_uid_.find(uid);
   if (it == servers_by_uid_.end()) return;
   EndpointList one;
-  one.kind = EndpointList::Kind::kChanges;
+  one.kind = EndpointList::Kind::kDelta;
   one.entries.push_back(it->second.last);
   ApplyEndpoints(one);
 }
 
 void RequestDispatcher::ApplyEndpoints(const EndpointList& list) {
-  sandstand::ListUpdate event;
+  balancer::EndpointListUpdate event;
   event.kind = Translate(list.kind);
   std::set<std::string> named;
   std::vector<ServerId> draining, gone;
@@ -308,13 +308,13 @@
     named.insert(entry.uid);
     if (entry.state != EndpointState::kRemoved) upstream_->SetEndpoint(known.id, entry.endpoint);
     if (entry.state == EndpointState::kDraining) draining.push_back(known.id);
-    sandstand::ServerEntry server;
+    balancer::ServerEntry server;
     server.id = known.id;
     server.zone = entry.zone;
     server.kind = entry.kind;
     server.cell = entry.cell;
     server.state = Translate(entry.state);
-    server.size = entry.size;
+    server.concurrency = entry.concurrency;
     // The loop's clock began as Unix time and runs at the same pace, so that a start's time, converted again
     // with each list, never seems to change: to the module that would be a restart.
     server.started_at = entry.boot_unix;
@@ -324,7 +324,7 @@
     servers_by_uid_.erase(it);
   }
   // Guards against tables that grow for as long as workers are replaced: who is gone is forgotten.
-  if (list.kind == EndpointList::Kind::kFull || list.kind == EndpointList::Kind::kCached) {
+  if (list.kind == EndpointList::Kind::kSnapshot || list.kind == EndpointList::Kind::kCached) {
     std::erase_if(servers_by_uid_, [&](const auto& known) {
       bool absent = named.count(known.first) == 0;
       if (absent) gone.push_back(known.second.id);
@@ -339,7 +339,7 @@
 
 // ---- Actions ----
 
-void RequestDispatcher::Execute(const sandstand::Send& action) {
+void RequestDispatcher::Execute(const balancer::Send& action) {
   auto it = requests_.find(action.id);
   if (it == requests_.end()) return;
   Request& request = it->second;
@@ -355,15 +355,15 @@
     upstream_->Cancel(key);
     OnAttemptEnded(key, AttemptOutcome::kTimedOut, nullptr);
   });
-  sent.write_by = sent.at + action.write_within;
-  if (action.write_within < action.timeout) {
+  sent.write_by = sent.at + action.write_timeout;
+  if (action.write_timeout < action.timeout) {
     sent.unwritten = std::make_unique<Timer>(loop_);
-    sent.unwritten->Set(action.write_within, [this, key] { RevokeUnsentAttempt(key); });
+    sent.unwritten->Set(action.write_timeout, [this, key] { RevokeUnsentAttempt(key); });
   }
   upstream_->Start({key, action.server, action.timeout, request.payload});
 }
 
-void RequestDispatcher::Execute(const sandstand::Refuse& action) {
+void RequestDispatcher::Execute(const balancer::Reject& action) {
   ResponseSink* sink = CloseRequest(action.id);
   if (sink != nullptr) {
     ++counters().refused;
@@ -372,7 +372,7 @@
   EraseIfOver(action.id);
 }
 
-void RequestDispatcher::Execute(const sandstand::Fail& action) {
+void RequestDispatcher::Execute(const balancer::Fail& action) {
   ResponseSink* sink = CloseRequest(action.id);
   if (sink != nullptr) {
     ++counters().failed;
@@ -381,7 +381,7 @@
   EraseIfOver(action.id);
 }
 
-void RequestDispatcher::Execute(const sandstand::Cancel& action) {
+void RequestDispatcher::Execute(const balancer::Cancel& action) {
   AttemptKey key{action.id, action.attempt};
   auto it = requests_.find(action.id);
   if (it == requests_.end() || action.attempt < 0 ||
@@ -395,14 +395,12 @@
 
 // Each request for a wake-up replaces the one before it, also when the earlier one is due and has not run
 // yet: an event that is handled after its due time runs the module's alarms and asks for the next of them.
-void RequestDispatcher::Execute(const sandstand::WakeAfter& action) {
-  wake_.Set(action.delay, [this] { Deliver(sandstand::TimerFired{}); });
+void RequestDispatcher::Execute(const balancer::WakeAfter& action) {
+  wake_.Set(action.delay, [this] { Deliver(balancer::TimerFired{}); });
 }
 
-void RequestDispatcher::Execute(const sandstand::Watch&) { endpoints_->Watch(); }
-void RequestDispatcher::Execute(const sandstand::FetchList&) { endpoints_->Fetch(); }
-void RequestDispatcher::Execute(const sandstand::Log& action) {
-  log_.Info("module: %s", action.text.c_str());
-}
+void RequestDispatcher::Execute(const balancer::Watch&) { endpoints_->Watch(); }
+void RequestDispatcher::Execute(const balancer::FetchList&) { endpoints_->Fetch(); }
+void RequestDispatcher::Execute(const balancer::Log& action) { log_.Info("module: %s", action.text.c_str()); }
 
 }  // namespace dappletiller
--- a/src/dispatch/request_dispatcher.hpp
+++ b/src/dispatch/request_dispatcher.hpp
@@ -16,19 +16,19 @@
 #include <vector>
 
 #include "base/payload.hpp"
+#include "dappletiller/balancer.hpp"
 #include "dispatch/counters.hpp"
 #include "dispatch/types.hpp"
 #include "drain/administrative_drains.hpp"
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
-#include "sandstand/balancer.hpp"
 
 namespace dappletiller {
 
 class RequestDispatcher {
  public:
   // Throws std::invalid_argument for settings that the module can't work with.
-  RequestDispatcher(EventLoop& loop, Log& log, const sandstand::Settings& settings);
+  RequestDispatcher(EventLoop& loop, Log& log, const balancer::Settings& settings);
   // To be called once, before anything else. Both must outlive it.
   void Connect(UpstreamTransport& upstream, EndpointSource& endpoints);
 
@@ -49,12 +49,12 @@
   void OnEndpointUpdate(const EndpointList& list);
   // From the quota leases: how much of what all proxies share this one may use, until when.
   void SetQuotaShare(double share, Micros valid_until) {
-    Deliver(sandstand::PartGranted{share, valid_until});
+    Deliver(balancer::QuotaShareGranted{share, valid_until});
   }
   // From the configuration feed: the settings of the tenant with this index (the listener's NameTenant) from
   // now on, or that the index is free.
-  void SetTenant(int index, bool named, const sandstand::TenantSettings& tenant) {
-    Deliver(sandstand::TenantChanged{index, named, tenant});
+  void SetTenant(int index, bool active, const balancer::TenantSettings& tenant) {
+    Deliver(balancer::TenantChanged{index, active, tenant});
   }
   // From the operators: a server that counts as draining from now on, whatever discovery lists, and its
   // return through slow start. False: discovery never named it. Repeating either is harmless.
@@ -91,17 +91,17 @@
     EndpointEntry last;  // as discovery last listed it
   };
 
-  void Deliver(sandstand::Event event);
+  void Deliver(balancer::Event event);
   void ApplyEndpoints(const EndpointList& list);
   void ReapplyEndpoint(const std::string& uid);
-  void Execute(const sandstand::Send& action);
-  void Execute(const sandstand::Refuse& action);
-  void Execute(const sandstand::Fail& action);
-  void Execute(const sandstand::Cancel& action);
-  void Execute(const sandstand::WakeAfter& action);
-  void Execute(const sandstand::Watch& action);
-  void Execute(const sandstand::FetchList& action);
-  void Execute(const sandstand::Log& action);
+  void Execute(const balancer::Send& action);
+  void Execute(const balancer::Reject& action);
+  void Execute(const balancer::Fail& action);
+  void Execute(const balancer::Cancel& action);
+  void Execute(const balancer::WakeAfter& action);
+  void Execute(const balancer::Watch& action);
+  void Execute(const balancer::FetchList& action);
+  void Execute(const balancer::Log& action);
   ResponseSink* CloseRequest(RequestId id);
   void RevokeUnsentAttempts(RequestId id);
   void RevokeUnsentAttempt(AttemptKey key);
@@ -110,7 +110,7 @@
 
   EventLoop& loop_;
   Log& log_;
-  sandstand::Balancer balancer_;
+  balancer::Balancer balancer_;
   UpstreamTransport* upstream_ = nullptr;
   EndpointSource* endpoints_ = nullptr;
   std::unordered_map<RequestId, Request> requests_;
@@ -118,7 +118,7 @@
   RequestId last_request_id_ = 0;
   ServerId last_server_id_ = 0;
   std::size_t open_requests_ = 0;
-  std::deque<sandstand::Event> events_;
+  std::deque<balancer::Event> events_;
   bool delivering_ = false;
   std::vector<RequestId> over_;  // to be erased once all events are delivered
   Timer wake_;
--- a/src/dispatch/types.hpp
+++ b/src/dispatch/types.hpp
@@ -105,12 +105,12 @@
   int kind = 0;
   int cell = 0;
   EndpointState state = EndpointState::kReady;
-  double size = 1;
+  double concurrency = 1;
   Micros boot_unix = 0;  // Unix time of its start in microseconds; 0: long ago
 };
 
 struct EndpointList {
-  enum class Kind { kChanges, kFull, kCached, kFailed };
+  enum class Kind { kDelta, kSnapshot, kCached, kFailed };
   Kind kind = Kind::kFailed;
   std::uint64_t version = 0;
   std::vector<EndpointEntry> entries;
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -212,10 +212,10 @@
     if (request_id_.empty()) return Reject(400, "Request-Id is missing");
     auto place = static_cast<std::size_t>(known->second);
     // UpstreamTransport turn away what doesn't fit together, and that would look like a fault of theirs.
-    sandstand::Effect effect = listener_.options_.effects[place];
-    bool safe = effect == sandstand::Effect::kSafe;
+    balancer::Effect effect = listener_.options_.effects[place];
+    bool safe = effect == balancer::Effect::kSafe;
     bool keyed = !request->Find("Idempotency-Key").value_or("").empty();
-    if ((request->method() == "GET") != safe || keyed != (effect == sandstand::Effect::kKeyed) ||
+    if ((request->method() == "GET") != safe || keyed != (effect == balancer::Effect::kKeyed) ||
         (safe && !request->body().empty())) {
       return Reject(400, "method, key or body do not go with the class");
     }
@@ -356,7 +356,7 @@
 }
 
 void DownstreamListener::Retune(const std::vector<std::string>& names, const std::vector<Micros>& patience,
-                                const std::vector<sandstand::Effect>& effects) {
+                                const std::vector<balancer::Effect>& effects) {
   for (std::size_t i = 0; i < names.size(); ++i) {
     auto known = class_of_.find(names[i]);
     if (known != class_of_.end()) {
--- a/src/downstream/listener.hpp
+++ b/src/downstream/listener.hpp
@@ -20,10 +20,10 @@
 
 struct ListenerOptions {
   Endpoint listen;
-  std::vector<std::string> classes;        // by their places in the settings
-  std::vector<Micros> patience;            // of a class: no client waits longer
-  std::vector<sandstand::Effect> effects;  // of a class: which method and key go with it
-  std::size_t places = 0;                  // connections that clients hold for calls, at most
+  std::vector<std::string> classes;       // by their places in the settings
+  std::vector<Micros> patience;           // of a class: no client waits longer
+  std::vector<balancer::Effect> effects;  // of a class: which method and key go with it
+  std::size_t places = 0;                 // connections that clients hold for calls, at most
   // After connecting, a client's first request may take this long to come: some round trips, a pause of its
   // own.
   Micros new_for = 100'000;
@@ -74,7 +74,7 @@
   // effect is decided as a new one from then on; calls that are open keep what they had. A class that is no
   // longer named stays known, so that a late client is still served.
   void Retune(const std::vector<std::string>& names, const std::vector<Micros>& patience,
-              const std::vector<sandstand::Effect>& effects);
+              const std::vector<balancer::Effect>& effects);
   // The place of a tenant for what comes from now on: the one it has, or one that is free.
   int NameTenant(const std::string& name);
   // Its place is free again; -1: it had none. Requests that are open keep what was decided for them.
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -30,7 +30,7 @@
   options.classes = config.classes;
   options.tenants = config.tenants;
   for (const auto& request_class : config.settings.classes) {
-    options.patience.push_back(request_class.deadline);
+    options.patience.push_back(request_class.client_timeout);
     options.effects.push_back(request_class.effect);
   }
   return options;
@@ -44,8 +44,8 @@
   options.host = config.discovery_text;
   options.names = config.names;
   options.version = config.known.version;
-  options.ask_within = config.settings.ask_within;
-  options.pushed = !config.settings.list_on_request;
+  options.ask_within = config.settings.poll_interval;
+  options.pushed = !config.settings.endpoints_on_request;
   options.seed = config.settings.seed;
   return options;
 }
--- a/src/proxy/settings_applier.cpp
+++ b/src/proxy/settings_applier.cpp
@@ -7,16 +7,16 @@
 namespace dappletiller {
 namespace {
 
-sandstand::Effect ToModuleEffect(config_feed::ClassEffect effect) {
+balancer::Effect ToModuleEffect(config_feed::ClassEffect effect) {
   switch (effect) {
     case config_feed::ClassEffect::kFree:
-      return sandstand::Effect::kSafe;
+      return balancer::Effect::kSafe;
     case config_feed::ClassEffect::kGuarded:
-      return sandstand::Effect::kKeyed;
+      return balancer::Effect::kKeyed;
     case config_feed::ClassEffect::kSingleShot:
       break;
   }
-  return sandstand::Effect::kUnsafe;
+  return balancer::Effect::kUnsafe;
 }
 
 }  // namespace
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -81,7 +81,7 @@
       if (!parsed) ++refused_;
     }
     int place = places_.try_emplace(entry.name, static_cast<int>(places_.size())).first->second;
-    sandstand::TenantSettings share;
+    balancer::TenantSettings share;
     if (tenant) share = {tenant->share, tenant->quota_per_second};
     dispatcher_->SetTenant(place, tenant.has_value(), share);
   }
@@ -127,8 +127,8 @@
       config_(Placed(way.First(), options_)),
       dispatcher_(loop, log, config_.settings),
       discovery_(loop, log, dispatcher_,
-                 {options_.discovery, "discovery", config_.names, 0, config_.settings.ask_within,
-                  !config_.settings.list_on_request}),
+                 {options_.discovery, "discovery", config_.names, 0, config_.settings.poll_interval,
+                  !config_.settings.endpoints_on_request}),
       random_(options_.seed),
       next_(loop) {
   dispatcher_.Connect(*this, discovery_);
--- a/src/benchlink.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -6,10 +6,10 @@
 #include <map>
 #include <string>
 
-#include "sandstand/balancer.hpp"
-#include "wire.hpp"
+#include "dappletiller/balancer.hpp"
+#include "simulator_adapter/wire_codec.hpp"
 
-namespace sandstand {
+namespace dappletiller::balancer {
 namespace {
 
 constexpr std::size_t kChunk = 1 << 20;
@@ -82,16 +82,16 @@
 };
 
 }  // namespace
-}  // namespace sandstand
+}  // namespace dappletiller::balancer
 
 int main() {
-  sandstand::Link link;
+  dappletiller::balancer::Link link;
   try {
     while (link.Answer()) {
     }
     return 0;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "sandstand_benchlink: %s: %s\n", link.context().c_str(), e.what());
+    std::fprintf(stderr, "dappletiller_simulator_adapter: %s: %s\n", link.context().c_str(), e.what());
     return 1;
   }
 }
--- a/src/wire.hpp
+++ b/src/simulator_adapter/wire_codec.hpp
@@ -1,6 +1,6 @@
 // Codec for the bench's wire: bytes to events, actions to bytes. It decides nothing.
-#ifndef SANDSTAND_SRC_WIRE_HPP_
-#define SANDSTAND_SRC_WIRE_HPP_
+#ifndef DAPPLETILLER_SIMULATOR_ADAPTER_WIRE_CODEC_HPP_
+#define DAPPLETILLER_SIMULATOR_ADAPTER_WIRE_CODEC_HPP_
 
 #include <cstdint>
 #include <stdexcept>
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "sandstand/balancer.hpp"
+#include "dappletiller/balancer.hpp"
 
-namespace sandstand::wire {
+namespace dappletiller::balancer::wire {
 
 constexpr std::size_t kHeaderSize = 20;
 
@@ -58,6 +58,6 @@
   int instance_ = -1;
 };
 
-}  // namespace sandstand::wire
+}  // namespace dappletiller::balancer::wire
 
-#endif  // SANDSTAND_SRC_WIRE_HPP_
+#endif  // DAPPLETILLER_SIMULATOR_ADAPTER_WIRE_CODEC_HPP_
