--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -18,8 +18,8 @@
 #include <utility>
 
 #include "balancer/constants.hpp"
-#include "limits/cold_ramp.hpp"
-#include "limits/tenant_share.hpp"
+#include "limits/slow_start.hpp"
+#include "limits/tenant_quota.hpp"
 
 namespace dappletiller::balancer {
 namespace {
@@ -469,7 +469,7 @@
 
   Micros Uptime(const Server& server) const { return now_ - EffectiveStart(server); }
   bool InSlowStart(const Server& server) const {
-    return EffectiveStart(server) > 0 && slow_start_.Cold(Uptime(server));
+    return EffectiveStart(server) > 0 && slow_start_.IsWarmingUp(Uptime(server));
   }
 
   // Work per microsecond once warmed up: `concurrency` requests in parallel, each at the learned speed.
@@ -483,14 +483,14 @@
     if (hint_count_ == 0) work *= kUnhintedSlowStartWork;
     Micros age = std::max(Uptime(server), server.next_send_at - EffectiveStart(server));
     server.next_send_at =
-        EffectiveStart(server) + slow_start_.NextTurn(Capacity(server), quota_share_, work, age);
+        EffectiveStart(server) + slow_start_.NextSendAge(Capacity(server), quota_share_, work, age);
   }
 
   bool SlowStartAllows(Server& server, const Request& request) {
     if (!InSlowStart(server)) return true;
     bool work_unknown = hint_count_ == 0 && (!MeanWorkKnown() || request.work < mean_work_);
     if (work_unknown || now_ >= quota_share_valid_until_ || quota_share_ <= 0) return false;
-    double max_work = slow_start_.Lump(Capacity(server), mean_work_, Uptime(server));
+    double max_work = slow_start_.MaxRequestWork(Capacity(server), mean_work_, Uptime(server));
     // A proxy that has just started does not know the mean work and assumes the largest permitted request.
     if (server.next_send_at < EffectiveStart(server))
       ChargeSlowStart(server, Uniform() * (MeanWorkKnown() ? mean_work_ : max_work));
@@ -823,7 +823,7 @@
   void On(const QuotaShareGranted& e) {
     quota_share_ = std::clamp(e.share, 0.0, 1.0);
     quota_share_valid_until_ = e.valid_until;
-    tenant_quota_.SetPart(quota_share_);
+    tenant_quota_.SetProxyShare(quota_share_);
     SendQueued();
   }
 
@@ -881,7 +881,7 @@
     double weight = max_weight_ > 0 ? c.weight / max_weight_ : 1;
     if (!settings_.weight_per_work && request.work > 0) weight *= std::min(1.0, mean_work_ / request.work);
     if (request.objective_at <= now_) weight *= c.late_weight;
-    if (tenant_quota_.Over(e.tenant, now_)) weight *= settings_.over_quota_weight;
+    if (tenant_quota_.IsOver(e.tenant, now_)) weight *= settings_.over_quota_weight;
     return weight;
   }
 
@@ -1005,8 +1005,8 @@
   Micros wake_at_ = -1;
   double retry_budget_ = kMaxRetryBudget;
   std::vector<Micros> usual_time_left_;  // by class: high quantile of the time to the deadline on arrival
-  limits::TenantShare tenant_quota_;
-  limits::ColdRamp slow_start_;
+  limits::TenantQuota tenant_quota_;
+  limits::SlowStart slow_start_;
   double quota_share_ = 0;  // of what all proxies use together
   Micros quota_share_valid_until_ = std::numeric_limits<Micros>::max();
 };
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -46,7 +46,7 @@
 // One client's connection, one call at a time.
 class DownstreamListener::Conn final : public StreamSocket::Callbacks, public ResponseSink {
  public:
-  Conn(DownstreamListener& listener, limits::ClientRoom::Id id)
+  Conn(DownstreamListener& listener, limits::ConnectionAdmission::Id id)
       : socket(listener.loop_, *this),
         id(id),
         listener_(listener),
@@ -104,7 +104,7 @@
     if (state_ != State::kReading) return received_.Add(n, parser_.held(), now);
     received_.Restart(parser_.held(), now);
     if (fresh) {
-      listener_.room_.Receiving(id);
+      listener_.admission_.OnBytesReceived(id);
       Begin();
     }
     Look();
@@ -115,7 +115,7 @@
     if (!keep_) {
       state_ = State::kClosing;
       socket.ShutdownWrite();
-      listener_.room_.ToldToGo(id);
+      listener_.admission_.OnLastResponse(id);
       EndUnlessTaken(listener_.options_.linger_for);
       socket.ResumeReading();
       return;
@@ -125,7 +125,7 @@
     Look();
     socket.ResumeReading();
     if (!socket.open() || !idle()) return;
-    listener_.room_.Rested(id);
+    listener_.admission_.OnIdle(id);
     if (listener_.closed_) {
       Leave();
     } else {
@@ -155,7 +155,7 @@
   }
 
   StreamSocket socket;
-  const limits::ClientRoom::Id id;
+  const limits::ConnectionAdmission::Id id;
 
  private:
   enum class State { kReading, kWaiting, kWriting, kClosing };
@@ -189,7 +189,7 @@
     keep_ = request->keep_alive();
     fresh_ = false;
     if (request->path() == "/up") {
-      listener_.room_.Probed(id);
+      listener_.admission_.OnHealthCheck(id);
       // With a socket of the platform's, a successor takes the clients when this process leaves: the
       // proxy is still up.
       bool up = !listener_.lameduck_ && !(listener_.draining_ && !listener_.inherited_);
@@ -248,7 +248,7 @@
     state_ = State::kWaiting;
     timer_.Clear();
     call_ = listener_.dispatcher_.NewRequestId();
-    listener_.room_.Called(id);
+    listener_.admission_.OnRequest(id);
     listener_.Trim();
     listener_.dispatcher_.OnRequest(call_, std::move(arrival), *this);
   }
@@ -258,7 +258,8 @@
   void Answering() {
     if (state_ == State::kWaiting) CloseCall();
     state_ = State::kWriting;
-    bool last = listener_.draining_ || listener_.lameduck_ || listener_.room_.LastAnswer(id);
+    bool last =
+        listener_.draining_ || listener_.lameduck_ || listener_.admission_.ShouldCloseAfterResponse(id);
     if (last && !NextIsHere()) keep_ = false;
   }
 
@@ -320,9 +321,10 @@
       options_(std::move(options)),
       waste_(kWaste),
       pause_(loop),
-      room_(options_.places, options_.new_for) {
+      admission_(options_.connection_slots, options_.first_request_grace) {
   descriptors_.SetCloseUnused(DescriptorLimit::Side::kDownstream, [this] {
-    return room_.MakeRoom(loop_.Now(), [this](limits::ClientRoom::Id id) { return DropIfUnused(id); });
+    return admission_.CloseOne(loop_.Now(),
+                               [this](limits::ConnectionAdmission::Id id) { return DropIfUnused(id); });
   });
   descriptors_.SetOnRoom([this] {
     if (waiting_ && listener_) loop_.NotifyAgain(token_, EPOLLIN);
@@ -476,7 +478,7 @@
     descriptors_.Acquire();
     Conn& begun = *conn;
     conns_[begun.id] = std::move(conn);
-    room_.Opened(begun.id, loop_.Now());
+    admission_.OnOpened(begun.id, loop_.Now());
     begun.Begin();
   }
 }
@@ -486,7 +488,7 @@
   return ::poll(&listener, 1, 0) > 0;
 }
 
-bool DownstreamListener::DropIfUnused(limits::ClientRoom::Id id) {
+bool DownstreamListener::DropIfUnused(limits::ConnectionAdmission::Id id) {
   if (!conns_.at(id)->Leave()) return false;
   ++ended_early_;
   // Guards against a shortage of places that nobody sees: what can't get in leaves no other trace here.
@@ -495,20 +497,20 @@
   log_.Info(
       "acceptor: %ld unused client connections ended early since the last such line; %zu of %zu places in "
       "use",
-      std::exchange(ended_early_, 0), room_.calling(), room_.places());
+      std::exchange(ended_early_, 0), admission_.used_slots(), admission_.slots());
   told_at_ = now;
   return true;
 }
 
 void DownstreamListener::Trim() {
-  room_.Trim([this](limits::ClientRoom::Id id) { return DropIfUnused(id); });
+  admission_.CloseExcess([this](limits::ConnectionAdmission::Id id) { return DropIfUnused(id); });
 }
 
 void DownstreamListener::Drop(Conn& conn) {
   auto it = conns_.find(conn.id);
   std::unique_ptr<Conn> owned = std::move(it->second);
   conns_.erase(it);
-  room_.Closed(owned->id);
+  admission_.OnClosed(owned->id);
   owned->End();
   descriptors_.Release();
   loop_.DeferDelete(std::move(owned));
--- a/src/downstream/listener.hpp
+++ b/src/downstream/listener.hpp
@@ -14,7 +14,7 @@
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
 #include "io/stream_socket.hpp"
-#include "limits/client_room.hpp"
+#include "limits/connection_admission.hpp"
 
 namespace dappletiller {
 
@@ -23,10 +23,10 @@
   std::vector<std::string> classes;       // by their places in the settings
   std::vector<Micros> patience;           // of a class: no client waits longer
   std::vector<balancer::Effect> effects;  // of a class: which method and key go with it
-  std::size_t places = 0;                 // connections that clients hold for calls, at most
+  std::size_t connection_slots = 0;       // connections that clients hold for calls, at most
   // After connecting, a client's first request may take this long to come: some round trips, a pause of its
   // own.
-  Micros new_for = 100'000;
+  Micros first_request_grace = 100'000;
   // Of a class: the module's class that decides for it; empty: the same place. A class that came with a
   // reload is decided as the module's class of the same effect with the nearest deadline.
   std::vector<int> decided_as;
@@ -69,7 +69,7 @@
   bool closed() const { return closed_; }
   std::size_t connections() const { return conns_.size(); }
   // Of the connections that clients may hold for calls; the surplus goes as soon as it is unused.
-  void Resize(std::size_t places) { room_.Resize(places); }
+  void Resize(std::size_t slots) { admission_.Resize(slots); }
   // Classes from a reload: a new name is added, a known one takes its new patience, and one with another
   // effect is decided as a new one from then on; calls that are open keep what they had. A class that is no
   // longer named stays known, so that a late client is still served.
@@ -82,12 +82,12 @@
 
  private:
   class Conn;
-  using ConnMap = std::unordered_map<limits::ClientRoom::Id, std::unique_ptr<Conn>>;
+  using ConnMap = std::unordered_map<limits::ConnectionAdmission::Id, std::unique_ptr<Conn>>;
 
   void OnReady(std::uint32_t events) override;
   void Accept();
   bool Pending() const;
-  bool DropIfUnused(limits::ClientRoom::Id id);
+  bool DropIfUnused(limits::ConnectionAdmission::Id id);
   void Trim();
   void Drop(Conn& conn);
   void Watch();
@@ -110,8 +110,8 @@
   Timer pause_;  // after accept failed for want of descriptors
   std::uint16_t port_ = 0;
   ConnMap conns_;
-  limits::ClientRoom room_;
-  limits::ClientRoom::Id ids_ = 0;
+  limits::ConnectionAdmission admission_;
+  limits::ConnectionAdmission::Id ids_ = 0;
   bool draining_ = false;
   Micros answer_by_ = 0;  // once draining
   bool lameduck_ = false;
--- a/src/drain/drain_state_file.cpp
+++ b/src/drain/drain_state_file.cpp
@@ -13,7 +13,7 @@
 constexpr const char* kFormat = "dappletiller-held";
 constexpr int kVersion = 1;
 
-bool HasOurFormat(const Json::Value& root) {
+bool HasSupportedFormat(const Json::Value& root) {
   const Json::Value& format = root["format"];
   const Json::Value& version = root["version"];
   return format.isString() && format.asString() == kFormat && version.isInt() && version.asInt() == kVersion;
@@ -60,7 +60,7 @@
   Json::Value root;
   std::string errors;
   const bool parsed = reader->parse(json.data(), json.data() + json.size(), &root, &errors);
-  if (!parsed || !root.isObject() || !HasOurFormat(root)) return std::nullopt;
+  if (!parsed || !root.isObject() || !HasSupportedFormat(root)) return std::nullopt;
   auto drained = ReadNames(root["held"]);
   auto undrained_at = ReadTimes(root["back"]);
   if (!drained || !undrained_at) return std::nullopt;
--- a/src/drain/drain_state_file.hpp
+++ b/src/drain/drain_state_file.hpp
@@ -1,12 +1,11 @@
-// Administrative drains as the JSON text that a process leaves for its successor in an upgrade.
+// Administrative drains as JSON text, which a process leaves for its successor in an upgrade.
 //
-// Touches no file; the sink reads and writes. A text that is cut short, foreign or of another version gives
-// nothing, never a part of what it held.
+// Does no file I/O. Text that is truncated, of another format or of another version yields nothing, never
+// part of its contents.
 //
 //   {"format": "dappletiller-held", "version": 1, "held": [uid...], "back": {uid: microseconds}}
-//
-// "held" are the servers that are drained, "back" when others were undrained, on the event loop's clock
-// (which began as Unix time).
+// "held" lists the drained servers, "back" when others were undrained, on the event loop's clock, which
+// starts as Unix time.
 #ifndef DAPPLETILLER_DRAIN_DRAIN_STATE_FILE_HPP_
 #define DAPPLETILLER_DRAIN_DRAIN_STATE_FILE_HPP_
 
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -26,7 +26,7 @@
   ListenerOptions options;
   options.long_bodies = std::move(long_bodies);
   options.listen = config.listen;
-  options.places = ClientConnectionSlots(config);
+  options.connection_slots = ClientConnectionSlots(config);
   options.classes = config.classes;
   options.tenants = config.tenants;
   for (const auto& request_class : config.settings.classes) {
--- a/src/quota_lease/lease_granter.cpp
+++ b/src/quota_lease/lease_granter.cpp
@@ -27,8 +27,8 @@
   for (auto it = holders_.begin(); it != holders_.end();) {
     Holder& holder = it->second;
     std::erase_if(holder.leases, [now](const auto& lease) { return now > lease.second.expires_at; });
-    const bool silent = now > holder.requested_at + lease_with_margin_;
-    it = holder.leases.empty() && silent ? holders_.erase(it) : std::next(it);
+    const bool inactive = now > holder.requested_at + lease_with_margin_;
+    it = holder.leases.empty() && inactive ? holders_.erase(it) : std::next(it);
   }
 }
 
@@ -45,7 +45,7 @@
   Expire(now);
   HolderKey key(name, request.boot);
   auto it = holders_.find(key);
-  // A late or repeated request acknowledges less than the holder has acknowledged since.
+  // A late or repeated request: the holder has acknowledged more since.
   if (it != holders_.end() && request.number <= it->second.last_request) return std::nullopt;
   if (request.release) {
     if (it != holders_.end()) holders_.erase(it);
@@ -63,7 +63,7 @@
   return LeaseResponse{request.boot, request.number, units};
 }
 
-// An even share among all holders, as far as the others leave it.
+// Grants an even share among all holders, limited to the units that are free.
 std::uint32_t LeaseGranter::Grant(TimePoint now, std::uint64_t request_number, Holder* holder) {
   std::uint32_t held_by_others = 0;
   for (const auto& [key, other] : holders_) {
--- a/src/quota_lease/lease_holder.cpp
+++ b/src/quota_lease/lease_holder.cpp
@@ -36,7 +36,7 @@
   if (it == leases_.end() || response.boot != boot_ || stopped_) return;
   Lease& lease = it->second;
   auto sent = lease.sent_at.find(response.number);
-  // An earlier response than the acknowledged one: the granter has been told that it was dropped.
+  // Older than the acknowledged response: the granter already counts it as dropped.
   if (sent == lease.sent_at.end() || response.number <= lease.acknowledged) return;
   lease.acknowledged = response.number;
   lease.units = std::min(response.units, kUnitsPerGranter);
@@ -61,8 +61,8 @@
 TimePoint LeaseHolder::ValidUntil(TimePoint now) const {
   TimePoint first;
   for (const auto& [granter, lease] : leases_) {
-    const bool in_force = now < lease.expires_at && lease.units > 0;
-    if (!in_force) continue;
+    const bool current = now < lease.expires_at && lease.units > 0;
+    if (!current) continue;
     first = first == TimePoint{} ? lease.expires_at : std::min(first, lease.expires_at);
   }
   return first;
--- a/src/quota_lease/messages.cpp
+++ b/src/quota_lease/messages.cpp
@@ -13,7 +13,7 @@
   for (std::size_t i = 0; i < sizeof(Number); ++i) to->push_back(static_cast<char>(number >> (8 * i)));
 }
 
-// Takes the next number off the front of `from`, which has to be long enough.
+// Removes a number from the front of `from`, which must be long enough.
 template <typename Number>
 Number Take(std::string_view* from) {
   Number number = 0;
--- a/src/quota_lease/messages.hpp
+++ b/src/quota_lease/messages.hpp
@@ -1,5 +1,4 @@
-// What holders and granters of quota leases tell one another, and their encoding: little endian, fixed
-// length.
+// Messages between holders and granters of quota leases, and their encoding: little endian, fixed length.
 #ifndef DAPPLETILLER_QUOTA_LEASE_MESSAGES_HPP_
 #define DAPPLETILLER_QUOTA_LEASE_MESSAGES_HPP_
 
@@ -10,16 +9,16 @@
 
 namespace dappletiller::quota_lease {
 
-constexpr std::uint32_t kUnitsPerGranter = 1'000'000;  // what one granter leases out, in all
+constexpr std::uint32_t kUnitsPerGranter = 1'000'000;  // total units that one granter grants
 
 // A holder asks a granter for a lease, or renews the one it has.
 struct LeaseRequest {
-  std::uint64_t boot = 0;    // which start of the holder
-  std::uint64_t number = 0;  // grows with each request of that start
-  std::uint64_t acknowledged =
-      0;                       // the latest response that the holder acts on; it has dropped all earlier ones
-  bool release = false;        // the holder uses nothing any more, and asks for nothing
-  std::uint32_t granters = 0;  // how many the holder counts; a granter that counts otherwise grants nothing
+  std::uint64_t boot = 0;    // boot number of the holder
+  std::uint64_t number = 0;  // increases with each request of that boot
+  // Number of the latest response that the holder uses; it has dropped all earlier ones.
+  std::uint64_t acknowledged = 0;
+  bool release = false;        // the holder no longer uses any units and requests none
+  std::uint32_t granters = 0;  // number of granters known to the holder; must match the granter's
 };
 
 struct LeaseResponse {
@@ -30,7 +29,7 @@
 
 std::string Encode(const LeaseRequest& request);
 std::string Encode(const LeaseResponse& response);
-// Nothing if `bytes` has another length.
+// Return nothing if `bytes` has the wrong length.
 std::optional<LeaseRequest> DecodeRequest(std::string_view bytes);
 std::optional<LeaseResponse> DecodeResponse(std::string_view bytes);
 
--- a/src/rules/rule_set.cpp
+++ b/src/rules/rule_set.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kForbidsNothing = std::numeric_limits<int>::max();
 
-// What a set says of a server that it doesn't name: it neither acts nor forbids, so it can't contradict.
+// Level of a server without a rule: neither acts nor forbids, so it cannot conflict.
 constexpr Level kAbstains = {0, kForbidsNothing};
 
 Level StricterOf(const Level& a, const Level& b) {
@@ -28,7 +28,7 @@
   return it == map.end() ? fallback : it->second;
 }
 
-// The keys of both maps, sorted, each once.
+// The union of the keys of both maps, sorted.
 template <typename Map>
 std::vector<std::string> KeysOf(const Map& a, const Map& b) {
   std::vector<std::string> keys;
@@ -52,7 +52,7 @@
                          [](std::uint64_t sum, const auto& share) { return sum + share.second; });
 }
 
-// Each proxy acts on one of the two sets, whichever: at worst on its larger share.
+// Each proxy may act on either of the two sets: in the worst case, on its larger share.
 std::uint64_t WorstSumOf(const SharesByProxy& a, const SharesByProxy& b) {
   std::uint64_t sum = 0;
   for (const std::string& proxy : KeysOf(a, b)) sum += std::max(FindOr(a, proxy, 0), FindOr(b, proxy, 0));
--- a/src/rules/rule_set.hpp
+++ b/src/rules/rule_set.hpp
@@ -1,11 +1,9 @@
-// Sets of rules that proxies act on, and whether two proxies that act on different sets contradict each
-// other.
+// Sets of rules that proxies act on, and whether two proxies that act on different sets conflict.
 //
-// A rule is a level, from strict (0) to loose. A set says two things of each rule: up to which level it acts
-// itself, and above which level it holds acting by others to be wrong. An operator's document gives one
-// number for both. Between the two numbers a set abstains: what it does not do itself it does not hold
-// against others. That is what makes a set possible that is compatible with two that contradict each other
-// (StrictestCommonRules).
+// A rule is a level, from strict (0) to loose. For each rule, a set states up to which level its proxy acts,
+// and above which level it forbids others to act. An operator's document gives one number for both. Between
+// the two numbers a set abstains: it does not act at those levels, but does not forbid them either. This is
+// what makes a set possible that is compatible with two conflicting ones (StrictestCommonRules).
 //
 // Pure values: no I/O, no clock; nothing throws. docs/design/rules.md has the cases and the proof that builds
 // on this.
@@ -27,17 +25,17 @@
 // A level as an operator's document gives it: the same number for both.
 constexpr Level ExactLevel(int level) { return {level, level}; }
 
-// Which requests that may have run already are sent again.
+// Which requests that may have run already are retried.
 enum class RetryScope {
   kNever = 0,
-  kWithIdempotencyKey = 1,  // where the server drops a repetition by its key
+  kWithIdempotencyKey = 1,  // if the server drops repeats by their key
   kAlways = 2
 };
 
-// What is done with requests of one class.
+// Rules for requests of one class.
 struct ClassRules {
-  Level attempts = ExactLevel(1);  // of one request, the first included
-  Level hedges = ExactLevel(0);    // attempts that may run beside the first
+  Level attempts = ExactLevel(1);  // per request, including the first
+  Level hedges = ExactLevel(0);    // hedged attempts, in addition to the first
   Level retries = ExactLevel(0);   // a RetryScope
   bool operator==(const ClassRules&) const = default;
 };
@@ -54,30 +52,30 @@
 struct RuleSet {
   std::uint64_t version = 0;
   std::map<std::string, ClassRules> classes;
-  ClassRules default_class;              // for a class that isn't named: one attempt, no more
-  std::map<std::string, Level> servers;  // a ServerStanding, by uid; nothing is said of one that isn't named
-  // For each quota (what a server that is warming up bears, a tenant's rate): how much of it each proxy may
-  // use. A proxy that isn't named may use none.
+  ClassRules default_class;              // for other classes: a single attempt
+  std::map<std::string, Level> servers;  // ServerStanding by uid; no rule for other servers
+  // For each quota (the load that a warming-up server can take, a tenant's rate): the share of each proxy.
+  // Other proxies have no share.
   std::map<std::string, SharesByProxy> quotas;
   bool operator==(const RuleSet&) const = default;
 };
 
-// Whether no level forbids what it acts on, every class has at least one attempt, and no quota's shares sum
-// to more than kWholeQuota. Required of all arguments below.
+// Whether no level forbids what it acts on, every class has at least one attempt, and the shares of each
+// quota sum to at most kWholeQuota. Required of all arguments below.
 bool IsValid(const RuleSet& rules);
 
-// One thing in which two sets contradict.
+// One rule on which two sets conflict.
 struct RuleConflict {
   std::string rule;           // "class pay attempts"
-  std::uint64_t acted = 0;    // the level acted on; of a quota, the sum of shares that may be in use
-  std::uint64_t allowed = 0;  // the level that the other set allows; of a quota, kWholeQuota
+  std::uint64_t acted = 0;    // the level acted on; for a quota, the sum of shares that may be in use
+  std::uint64_t allowed = 0;  // the level that the other set allows; for a quota, kWholeQuota
   bool operator==(const RuleConflict&) const = default;
 };
 // "class pay attempts: 3 against at most 1"
 std::string ToString(const RuleConflict& conflict);
 
-// All in which two proxies contradict, one acting on `a` and the other on `b`. Versions don't matter.
-// Symmetric but for the order.
+// All conflicts between a proxy that acts on `a` and one that acts on `b`. Ignores versions. Symmetric except
+// for the order of the result.
 std::vector<RuleConflict> FindConflicts(const RuleSet& a, const RuleSet& b);
 bool AreCompatible(const RuleSet& a, const RuleSet& b);
 
@@ -86,9 +84,9 @@
 // later one.
 RuleSet StrictestCommonRules(const RuleSet& a, const RuleSet& b);
 
-// What a proxy does that holds no lease on any version, and so doesn't know what the others act on: one
-// attempt for each request, no retry, no hedge, no share of any quota. It forbids nothing. Of servers it says
-// what `last` said: how long that may stand is the endpoint list's affair, not a lease's.
+// Rules for a proxy that has no lease on any version, so it does not know which rules the others act on: one
+// attempt per request, no retries, no hedging, no share of any quota. It forbids nothing. The standing of
+// servers is taken from `last`: its lifetime is governed by the endpoint list, not by a lease.
 RuleSet RestrictedRules(const RuleSet& last);
 
 }  // namespace dappletiller::rules
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -229,10 +229,10 @@
   }
   while (end != pool.idle.begin()) {
     auto taken = std::prev(end);
-    double least = rests_.Risk(now - (*taken)->parked_at);
+    double least = rests_.FailureRate(now - (*taken)->parked_at);
     int looks = kLooks;
     for (auto it = taken; least > 0 && it != pool.idle.begin() && looks > 0; --looks) {
-      double risk = rests_.Risk(now - (*--it)->parked_at);
+      double risk = rests_.FailureRate(now - (*--it)->parked_at);
       if (risk >= least) continue;
       least = risk;
       taken = it;
@@ -243,19 +243,19 @@
     link->rest = now - link->parked_at;
     // Guards against writing into a connection whose end is known to the kernel but not yet to us, or that a
     // worker has most likely left by now without our being told.
-    if (!link->socket.IsStale() && rests_.Trusted(link->rest)) return link;
+    if (!link->socket.IsStale() && rests_.IsReusable(link->rest)) return link;
     Discard(std::move(link));
   }
   return nullptr;
 }
 
 void UpstreamPool::NoteRest(Micros rest, bool kept) {
-  rests_.Note(rest, kept);
+  rests_.Record(rest, kept);
   if (!kept && !fade_.set()) fade_.Set(kFadeEvery, [this] { Fade(); });
 }
 
 void UpstreamPool::Fade() {
-  if (rests_.Fade()) fade_.Set(kFadeEvery, [this] { Fade(); });
+  if (rests_.Decay()) fade_.Set(kFadeEvery, [this] { Fade(); });
 }
 
 bool UpstreamPool::DropOneIdle() {
--- a/src/upstream/upstream_pool.hpp
+++ b/src/upstream/upstream_pool.hpp
@@ -13,7 +13,7 @@
 #include "io/event_loop.hpp"
 #include "io/log.hpp"
 #include "io/stream_socket.hpp"
-#include "limits/rest_record.hpp"
+#include "limits/idle_reuse.hpp"
 
 namespace dappletiller {
 
@@ -69,7 +69,7 @@
   std::unordered_map<ServerId, Pool> pools_;
   std::unordered_map<AttemptKey, std::unique_ptr<Link>, AttemptKeyHash> busy_;
   std::size_t count_ = 0;
-  limits::RestRecord rests_;
+  limits::IdleReuseEstimator rests_;
   Timer fade_;  // of what is known of rests, so that they are tried again
 };
 
--- a/tests/quota_lease/quota_lease_test.cpp
+++ b/tests/quota_lease/quota_lease_test.cpp
@@ -1,5 +1,6 @@
-// Parts of a whole: in a small world with loss, delay, reordering, pauses, restarts, cuts and clocks that run
-// apart, the parts in use never pass the whole. The last cases break one assumption each and are found.
+// Quota leases. In a simulation with message loss, delay, reordering, pauses, restarts, partitions and clock
+// drift, the shares in use never sum to more than the whole quota. Planted bugs that break one assumption
+// each are detected.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,123 +21,125 @@
 constexpr Duration kLease = std::chrono::seconds(3);
 constexpr Duration kMs = std::chrono::milliseconds(1);
 
-struct Flaws {
-  bool counts_from_arrival = false;  // a holder whose loan begins when the answer comes
-  bool lends_at_once = false;        // a keeper that doesn't wait after its start
-  double drift = 0.009;              // of each clock, either way
+struct PlantedBugs {
+  bool lease_runs_from_response = false;  // a holder's lease runs from the response instead of the request
+  bool grants_immediately = false;        // a granter does not wait after its start
+  double drift = 0.009;                   // of each clock, in either direction
 };
 
-class SmallWorld {
+class LeaseSimulation {
  public:
-  SmallWorld(std::uint64_t seed, Flaws flaws) : random_(seed), flaws_(flaws) {
+  LeaseSimulation(std::uint64_t seed, PlantedBugs bugs) : random_(seed), bugs_(bugs) {
     for (int i = 0; i < kNodes; ++i) {
-      nodes_[i].pace = 1 + flaws_.drift * (i % 2 == 0 ? 1 : -1);
+      nodes_[i].clock_rate = 1 + bugs_.drift * (i % 2 == 0 ? 1 : -1);
       nodes_[i].offset = Duration(static_cast<Micros>(random_(1'000'000'000)));
       if (i < 4) Start(i);
     }
   }
 
-  // The most that was ever in use at once.
-  double Play(int steps) {
-    double most = 0;
+  // Runs the simulation; returns the largest sum of shares in use at any time.
+  double Run(int steps) {
+    double max_in_use = 0;
     for (int i = 0; i < steps; ++i) {
       Step();
       now_ += 20 * kMs;
       double sum = 0;
       for (Node& node : nodes_) {
-        // A process that stands still uses nothing; when it goes on it looks at its loan first.
-        if (node.holder && now_ >= node.paused) sum += Part(node);
+        // A paused process uses nothing; when it resumes, it checks its lease first.
+        if (node.holder && now_ >= node.paused) sum += ShareOf(node);
       }
-      most = std::max(most, sum);
+      max_in_use = std::max(max_in_use, sum);
     }
-    return most;
+    return max_in_use;
   }
   double InUse() {
     double sum = 0;
-    for (Node& node : nodes_) sum += node.holder ? Part(node) : 0;
+    for (Node& node : nodes_) sum += node.holder ? ShareOf(node) : 0;
     return sum;
   }
-  // No more faults, and every keeper runs.
-  void Quiet() {
-    quiet_ = true;
-    for (int k = 0; k < kKeepers; ++k) {
+  // Stops injecting faults and starts all granters.
+  void StopFaults() {
+    faults_stopped_ = true;
+    for (int k = 0; k < kGranters; ++k) {
       if (!nodes_[k].holder) Start(k);
     }
   }
 
  private:
   static constexpr int kNodes = 7;
-  static constexpr int kKeepers = 3;
+  static constexpr int kGranters = 3;
   struct Node {
-    std::optional<LeaseGranter> keeper;
+    std::optional<LeaseGranter> granter;
     std::optional<LeaseHolder> holder;
-    double pace = 1;
+    double clock_rate = 1;
     Duration offset{};
     std::uint64_t boot = 0;
     TimePoint paused;
-    TimePoint asked;
+    TimePoint requested_at;
   };
-  struct Post {
+  struct Message {
     TimePoint at;
     int from, to;
     std::uint64_t boot;
     std::string bytes;
     bool ask;
-    bool operator>(const Post& o) const { return at > o.at; }
+    bool operator>(const Message& o) const { return at > o.at; }
   };
 
   TimePoint Local(const Node& n) const {
-    return TimePoint(n.offset + Scale(now_.time_since_epoch(), n.pace));
+    return TimePoint(n.offset + Scale(now_.time_since_epoch(), n.clock_rate));
   }
-  double Part(const Node& n) const { return n.holder->Share(Local(n)); }
+  double ShareOf(const Node& n) const { return n.holder->Share(Local(n)); }
   static std::string Name(int i) { return "p" + std::to_string(i); }
 
   void Start(int i) {
     Node& n = nodes_[i];
     ++n.boot;
-    n.keeper.reset();
-    const TimePoint started = flaws_.lends_at_once ? Local(n) - 10 * kLease : Local(n);
-    if (i < kKeepers) n.keeper.emplace(static_cast<std::uint32_t>(kKeepers), kLease, started);
+    n.granter.reset();
+    const TimePoint started = bugs_.grants_immediately ? Local(n) - 10 * kLease : Local(n);
+    if (i < kGranters) n.granter.emplace(static_cast<std::uint32_t>(kGranters), kLease, started);
     n.holder.emplace(n.boot, std::vector<std::string>{"p0", "p1", "p2"}, kLease);
-    n.asked = TimePoint{};
+    n.requested_at = TimePoint{};
   }
   void Stop(int i) {
-    nodes_[i].keeper.reset();
+    nodes_[i].granter.reset();
     nodes_[i].holder.reset();
   }
   void Send(int from, int to, const std::string& bytes, bool ask) {
-    bool cut = !quiet_ && group_[from] != group_[to];
-    if (cut || (!quiet_ && random_(100) < 20)) return;
+    bool cut = !faults_stopped_ && group_[from] != group_[to];
+    if (cut || (!faults_stopped_ && random_(100) < 20)) return;
     const Duration delay =
-        quiet_ ? kMs : Duration(static_cast<Micros>(random_(random_(10) == 0 ? 4'000'000 : 200'000)));
-    posts_.push({now_ + delay, from, to, nodes_[to].boot, bytes, ask});
-    if (!quiet_ && random_(10) == 0) posts_.push({now_ + 2 * delay, from, to, nodes_[to].boot, bytes, ask});
+        faults_stopped_ ? kMs
+                        : Duration(static_cast<Micros>(random_(random_(10) == 0 ? 4'000'000 : 200'000)));
+    messages_.push({now_ + delay, from, to, nodes_[to].boot, bytes, ask});
+    if (!faults_stopped_ && random_(10) == 0)
+      messages_.push({now_ + 2 * delay, from, to, nodes_[to].boot, bytes, ask});
   }
-  void Arrive(const Post& post) {
-    Node& n = nodes_[post.to];
-    if (!n.holder || post.boot != n.boot) return;
-    if (post.ask) {
-      auto ask = DecodeRequest(post.bytes);
-      if (!n.keeper || !ask) return;
-      if (auto answer = n.keeper->OnRequest(Local(n), Name(post.from), *ask))
-        Send(post.to, post.from, Encode(*answer), false);
-    } else if (auto answer = DecodeResponse(post.bytes)) {
-      n.holder->OnResponse(Name(post.from), *answer);
+  void Arrive(const Message& message) {
+    Node& n = nodes_[message.to];
+    if (!n.holder || message.boot != n.boot) return;
+    if (message.ask) {
+      auto ask = DecodeRequest(message.bytes);
+      if (!n.granter || !ask) return;
+      if (auto answer = n.granter->OnRequest(Local(n), Name(message.from), *ask))
+        Send(message.to, message.from, Encode(*answer), false);
+    } else if (auto answer = DecodeResponse(message.bytes)) {
+      n.holder->OnResponse(Name(message.from), *answer);
     }
   }
   void Step() {
-    while (!posts_.empty() && posts_.top().at <= now_) {
-      Post post = posts_.top();
-      posts_.pop();
-      if (now_ < nodes_[post.to].paused) {
-        post.at = nodes_[post.to].paused;
-        posts_.push(post);
+    while (!messages_.empty() && messages_.top().at <= now_) {
+      Message message = messages_.top();
+      messages_.pop();
+      if (now_ < nodes_[message.to].paused) {
+        message.at = nodes_[message.to].paused;
+        messages_.push(message);
         continue;
       }
-      Arrive(post);
+      Arrive(message);
     }
     int who = static_cast<int>(random_(kNodes));
-    if (!quiet_ && random_(40) == 0) {
+    if (!faults_stopped_ && random_(40) == 0) {
       switch (random_(6)) {
         case 0:
           Stop(who);
@@ -158,15 +161,15 @@
     }
     for (int i = 0; i < kNodes; ++i) {
       Node& n = nodes_[i];
-      if (!n.holder || now_ < n.paused || now_ < n.asked + kLease / 3) continue;
-      n.asked = now_;
-      for (int k = 0; k < kKeepers; ++k) {
-        // The flaw: a question remembered as put later than it was.
-        const TimePoint when = Local(n) + (flaws_.counts_from_arrival ? kLease : Duration{});
+      if (!n.holder || now_ < n.paused || now_ < n.requested_at + kLease / 3) continue;
+      n.requested_at = now_;
+      for (int k = 0; k < kGranters; ++k) {
+        // The planted bug: the request is recorded with a later send time.
+        const TimePoint when = Local(n) + (bugs_.lease_runs_from_response ? kLease : Duration{});
         LeaseRequest ask = n.holder->MakeRequest(when, Name(k));
         if (k != i) {
           Send(i, k, Encode(ask), true);
-        } else if (auto answer = n.keeper->OnRequest(Local(n), Name(i), ask)) {
+        } else if (auto answer = n.granter->OnRequest(Local(n), Name(i), ask)) {
           n.holder->OnResponse(Name(k), *answer);
         }
       }
@@ -174,97 +177,97 @@
   }
 
   pcg64 random_;
-  Flaws flaws_;
+  PlantedBugs bugs_;
   TimePoint now_{std::chrono::seconds(1)};
   Node nodes_[kNodes];
   int group_[kNodes] = {};
-  bool quiet_ = false;
-  std::priority_queue<Post, std::vector<Post>, std::greater<>> posts_;
+  bool faults_stopped_ = false;
+  std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
 };
 
-double Worst(Flaws flaws, int seeds) {
-  double worst = 0;
+double MaxInUse(PlantedBugs bugs, int seeds) {
+  double max_in_use = 0;
   for (int seed = 1; seed <= seeds; ++seed)
-    worst = std::max(worst, SmallWorld(static_cast<std::uint64_t>(seed), flaws).Play(3000));
-  return worst;
+    max_in_use = std::max(max_in_use, LeaseSimulation(static_cast<std::uint64_t>(seed), bugs).Run(3000));
+  return max_in_use;
 }
 
-TEST_CASE("the parts in use never pass the whole, whatever is lost, late, cut, paused or restarted") {
-  CHECK(Worst({}, 150) <= 1.0 + 1e-9);
+TEST_CASE("the shares in use never exceed the quota under loss, delay, partitions, pauses and restarts") {
+  CHECK(MaxInUse({}, 150) <= 1.0 + 1e-9);
 }
 
-TEST_CASE("after the faults the whole is in use again") {
+TEST_CASE("the whole quota is in use again after the faults") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    SmallWorld world(seed, {});
-    world.Play(2000);
-    world.Quiet();
-    // Pauses of up to 20 s, a restarted keeper's wait, and a few rounds for parts to become even.
-    world.Play(2500);
+    LeaseSimulation simulation(seed, {});
+    simulation.Run(2000);
+    simulation.StopFaults();
+    // Pauses of up to 20 s, the wait of a restarted granter, and a few rounds until shares are even.
+    simulation.Run(2500);
     CAPTURE(seed);
-    CHECK(world.InUse() > 0.9);
+    CHECK(simulation.InUse() > 0.9);
   }
 }
 
-TEST_CASE("each broken assumption is found") {
-  Flaws arrival, at_once, drift;
-  arrival.counts_from_arrival = true;
-  at_once.lends_at_once = true;
+TEST_CASE("each planted bug is detected") {
+  PlantedBugs from_response, immediate, drift;
+  from_response.lease_runs_from_response = true;
+  immediate.grants_immediately = true;
   drift.drift = 0.2;
-  CHECK(Worst(arrival, 60) > 1.0 + 1e-9);
-  CHECK(Worst(at_once, 60) > 1.0 + 1e-9);
-  CHECK(Worst(drift, 150) > 1.0 + 1e-9);
+  CHECK(MaxInUse(from_response, 60) > 1.0 + 1e-9);
+  CHECK(MaxInUse(immediate, 60) > 1.0 + 1e-9);
+  CHECK(MaxInUse(drift, 150) > 1.0 + 1e-9);
 }
 
-TEST_CASE("a joiner begins with nothing and gets its part once the others are known to have less") {
-  LeaseGranter keeper(1, kLease, TimePoint{});
+TEST_CASE("a new holder gets its share only after the others have acknowledged smaller leases") {
+  LeaseGranter granter(1, kLease, TimePoint{});
   TimePoint now{10 * kLease};
   LeaseHolder a(1, {"k"}, kLease), b(1, {"k"}, kLease);
-  auto answer = keeper.OnRequest(now, "a", a.MakeRequest(now, "k"));
+  auto answer = granter.OnRequest(now, "a", a.MakeRequest(now, "k"));
   a.OnResponse("k", *answer);
   CHECK(a.Share(now) == doctest::Approx(1));
   CHECK(b.Share(now) == 0);
-  b.OnResponse("k", *keeper.OnRequest(now, "b", b.MakeRequest(now, "k")));
-  CHECK(b.Share(now) == 0);  // a may be using all
-  answer = keeper.OnRequest(now + kMs, "a", a.MakeRequest(now + kMs, "k"));
+  b.OnResponse("k", *granter.OnRequest(now, "b", b.MakeRequest(now, "k")));
+  CHECK(b.Share(now) == 0);  // a may be using the whole quota
+  answer = granter.OnRequest(now + kMs, "a", a.MakeRequest(now + kMs, "k"));
   CHECK(answer->units == kUnitsPerGranter / 2);
-  b.OnResponse("k", *keeper.OnRequest(now + 2 * kMs, "b", b.MakeRequest(now + 2 * kMs, "k")));
-  CHECK(b.Share(now + 2 * kMs) == 0);  // the smaller loan may not have reached a
+  b.OnResponse("k", *granter.OnRequest(now + 2 * kMs, "b", b.MakeRequest(now + 2 * kMs, "k")));
+  CHECK(b.Share(now + 2 * kMs) == 0);  // a may not have received the smaller lease
   a.OnResponse("k", *answer);
-  keeper.OnRequest(now + 3 * kMs, "a", a.MakeRequest(now + 3 * kMs, "k"));  // says that it has taken it
-  b.OnResponse("k", *keeper.OnRequest(now + 4 * kMs, "b", b.MakeRequest(now + 4 * kMs, "k")));
+  granter.OnRequest(now + 3 * kMs, "a", a.MakeRequest(now + 3 * kMs, "k"));  // acknowledges the smaller lease
+  b.OnResponse("k", *granter.OnRequest(now + 4 * kMs, "b", b.MakeRequest(now + 4 * kMs, "k")));
   CHECK(a.Share(now + 4 * kMs) == doctest::Approx(0.5));
   CHECK(b.Share(now + 4 * kMs) == doctest::Approx(0.5));
 }
 
-TEST_CASE("a loan ends by itself, a told leave frees at once, and silence frees only in time") {
-  LeaseGranter keeper(1, kLease, TimePoint{});
+TEST_CASE("a lease expires by itself, a release frees it at once, and silence frees it only by expiry") {
+  LeaseGranter granter(1, kLease, TimePoint{});
   TimePoint now{10 * kLease};
   LeaseHolder a(1, {"k"}, kLease), b(1, {"k"}, kLease);
-  a.OnResponse("k", *keeper.OnRequest(now, "a", a.MakeRequest(now, "k")));
+  a.OnResponse("k", *granter.OnRequest(now, "a", a.MakeRequest(now, "k")));
   CHECK(a.Share(now + kLease - Duration(1)) == doctest::Approx(1));
   CHECK(a.Share(now + kLease) == 0);
-  CHECK(keeper.GrantedUnits(now + kLease) == kUnitsPerGranter);  // not yet: its clock may be slower
-  CHECK(keeper.GrantedUnits(now + kLease + kLease / 10) == 0);
+  CHECK(granter.GrantedUnits(now + kLease) == kUnitsPerGranter);  // not yet: the holder's clock may be slower
+  CHECK(granter.GrantedUnits(now + kLease + kLease / 10) == 0);
   now += 2 * kLease;
-  a.OnResponse("k", *keeper.OnRequest(now, "a", a.MakeRequest(now, "k")));
+  a.OnResponse("k", *granter.OnRequest(now, "a", a.MakeRequest(now, "k")));
   a.Stop();
   CHECK(a.Share(now) == 0);
-  CHECK_FALSE(keeper.OnRequest(now, "a", a.MakeRelease(now, "k")).has_value());
-  b.OnResponse("k", *keeper.OnRequest(now, "b", b.MakeRequest(now, "k")));
+  CHECK_FALSE(granter.OnRequest(now, "a", a.MakeRelease(now, "k")).has_value());
+  b.OnResponse("k", *granter.OnRequest(now, "b", b.MakeRequest(now, "k")));
   CHECK(b.Share(now) == doctest::Approx(1));
 }
 
-TEST_CASE("late, repeated and foreign words change nothing") {
-  LeaseGranter keeper(2, kLease, TimePoint{});
+TEST_CASE("late, repeated and foreign messages have no effect") {
+  LeaseGranter granter(2, kLease, TimePoint{});
   TimePoint now{10 * kLease};
   LeaseHolder a(1, {"k", "l"}, kLease);
   LeaseRequest first = a.MakeRequest(now, "k"), second = a.MakeRequest(now + Duration(1), "k");
-  auto late = keeper.OnRequest(now, "a", second);
-  CHECK_FALSE(keeper.OnRequest(now, "a", first).has_value());
-  CHECK_FALSE(keeper.OnRequest(now, "a", second).has_value());
+  auto late = granter.OnRequest(now, "a", second);
+  CHECK_FALSE(granter.OnRequest(now, "a", first).has_value());
+  CHECK_FALSE(granter.OnRequest(now, "a", second).has_value());
   LeaseRequest other = a.MakeRequest(now + Duration(2), "k");
   other.granters = 3;
-  CHECK_FALSE(keeper.OnRequest(now, "a", other).has_value());
+  CHECK_FALSE(granter.OnRequest(now, "a", other).has_value());
   a.OnResponse("k", *late);
   CHECK(a.Share(now) == doctest::Approx(0.5));
   LeaseResponse forged = *late;
--- a/tests/rules/rule_set_test.cpp
+++ b/tests/rules/rule_set_test.cpp
@@ -1,4 +1,4 @@
-// What contradicts what, and the meet's properties on random rules.
+// Conflicts between rule sets, and the properties of StrictestCommonRules on random sets.
 #include "rules/rule_set.hpp"
 
 #include <doctest/doctest.h>
@@ -8,27 +8,27 @@
 namespace dappletiller::rules {
 namespace {
 
-class Dice {
+class RandomRules {
  public:
-  explicit Dice(std::uint64_t seed) : random_(seed) {}
+  explicit RandomRules(std::uint64_t seed) : random_(seed) {}
   int Below(int n) { return static_cast<int>(random_(static_cast<std::uint32_t>(n))); }
-  Level Any(int least, int most) {
-    int does = least + Below(most - least + 1);
-    return {does, Below(2) == 0 ? does : does + Below(most - does + 1)};
+  Level RandomLevel(int min, int max) {
+    int acts = min + Below(max - min + 1);
+    return {acts, Below(2) == 0 ? acts : acts + Below(max - acts + 1)};
   }
-  RuleSet Draw() {
+  RuleSet Next() {
     RuleSet rules;
     rules.version = static_cast<std::uint64_t>(Below(9));
-    if (Below(2) == 0) rules.default_class = {Any(1, 4), Any(0, 1), Any(0, 2)};
+    if (Below(2) == 0) rules.default_class = {RandomLevel(1, 4), RandomLevel(0, 1), RandomLevel(0, 2)};
     for (const char* name : {"a", "b", "c"}) {
-      if (Below(3) > 0) rules.classes[name] = {Any(1, 4), Any(0, 1), Any(0, 2)};
+      if (Below(3) > 0) rules.classes[name] = {RandomLevel(1, 4), RandomLevel(0, 1), RandomLevel(0, 2)};
       if (Below(3) > 0)
         rules.servers[name] =
-            Any(static_cast<int>(ServerStanding::kRemoved), static_cast<int>(ServerStanding::kReady));
-      Share left = kWholeQuota;
+            RandomLevel(static_cast<int>(ServerStanding::kRemoved), static_cast<int>(ServerStanding::kReady));
+      Share remaining = kWholeQuota;
       for (const char* proxy : {"p", "q", "r"}) {
-        Share part = static_cast<Share>(Below(static_cast<int>(left) + 1));
-        if (Below(2) == 0) left -= rules.quotas[name][proxy] = part;
+        Share share = static_cast<Share>(Below(static_cast<int>(remaining) + 1));
+        if (Below(2) == 0) remaining -= rules.quotas[name][proxy] = share;
       }
     }
     return rules;
@@ -38,31 +38,33 @@
   pcg32 random_;
 };
 
-TEST_CASE("the meet contradicts neither; commutative, associative, idempotent; so does the restricted one") {
-  Dice dice(1);
-  int contradict = 0;
+TEST_CASE(
+    "the strictest common rules conflict with neither set and are commutative, associative, idempotent; "
+    "restricted rules conflict with none") {
+  RandomRules random_rules(1);
+  int conflicting = 0;
   for (int i = 0; i < 3000; ++i) {
-    RuleSet a = dice.Draw(), b = dice.Draw(), c = dice.Draw();
+    RuleSet a = random_rules.Next(), b = random_rules.Next(), c = random_rules.Next();
     REQUIRE(IsValid(a));
-    RuleSet meet = StrictestCommonRules(a, b);
-    contradict += AreCompatible(a, b) ? 0 : 1;
-    CHECK(IsValid(meet));
+    RuleSet common = StrictestCommonRules(a, b);
+    conflicting += AreCompatible(a, b) ? 0 : 1;
+    CHECK(IsValid(common));
     CHECK(AreCompatible(a, b) == AreCompatible(b, a));
     CHECK(AreCompatible(a, a));
-    CHECK(AreCompatible(a, meet));
-    CHECK(AreCompatible(meet, b));
-    CHECK(meet == StrictestCommonRules(b, a));
+    CHECK(AreCompatible(a, common));
+    CHECK(AreCompatible(common, b));
+    CHECK(common == StrictestCommonRules(b, a));
     CHECK(StrictestCommonRules(a, a) == a);
-    CHECK(StrictestCommonRules(meet, c) == StrictestCommonRules(a, StrictestCommonRules(b, c)));
-    // Of workers the restricted rules say what was said last; all else contradicts nobody.
-    RuleSet strict = RestrictedRules(a), other = b;
-    strict.servers.clear();
-    CHECK(AreCompatible(strict, other));
+    CHECK(StrictestCommonRules(common, c) == StrictestCommonRules(a, StrictestCommonRules(b, c)));
+    // Restricted rules keep the last rules on servers; everything else conflicts with no set.
+    RuleSet restricted = RestrictedRules(a), other = b;
+    restricted.servers.clear();
+    CHECK(AreCompatible(restricted, other));
   }
-  CHECK(contradict > 500);
+  CHECK(conflicting > 500);
 }
 
-TEST_CASE("each kind of contradiction is named, with the loose and the strict word") {
+TEST_CASE("each kind of conflict is reported with the looser and the stricter level") {
   RuleSet v, w;
   v.classes["pay"] = {ExactLevel(1), ExactLevel(0), ExactLevel(0)};
   w.classes["pay"] = {ExactLevel(3), ExactLevel(1), ExactLevel(2)};
@@ -78,11 +80,11 @@
                          "class pay hedges: 1 against at most 0", "class pay retries: 2 against at most 0",
                          "server w1 standing: 3 against at most 2",
                          "quota cold shares: 1100000 against at most 1000000"});
-  RuleSet meet = StrictestCommonRules(v, w);
-  CHECK(meet.classes["pay"].attempts.acts_up_to == 1);
-  CHECK(meet.servers["w1"].acts_up_to == static_cast<int>(ServerStanding::kDraining));
-  CHECK(meet.quotas["cold"]["p1"] == 500'000);
-  CHECK(meet.quotas["cold"]["p2"] == 400'000);
+  RuleSet common = StrictestCommonRules(v, w);
+  CHECK(common.classes["pay"].attempts.acts_up_to == 1);
+  CHECK(common.servers["w1"].acts_up_to == static_cast<int>(ServerStanding::kDraining));
+  CHECK(common.quotas["cold"]["p1"] == 500'000);
+  CHECK(common.quotas["cold"]["p2"] == 400'000);
 }
 
 }  // namespace
