--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -8,8 +8,8 @@
 namespace dappletiller {
 namespace {
 
-// Where lists are pushed: an agent that was silent has its changes taken within the sum of these of being
-// back. Requests to it cost nothing, and what it has counts as notified.
+// For pushed lists: when a silent agent recovers, its changes are received within the sum of these. Requests
+// to the agent cost nothing, and the changes it has count as notified.
 constexpr Micros kPushedLongPollTime = 1'000'000;
 constexpr Micros kPushedAnswerTime = 500'000;
 constexpr Micros kPushedRetryInterval = 100'000;
@@ -19,17 +19,17 @@
 
 }  // namespace
 
-// ---- One connection ----
+// ---- Connection ----
 
-DiscoveryClient::Call::Call(DiscoveryClient& discovery, Kind kind)
+DiscoveryClient::Connection::Connection(DiscoveryClient& discovery, Kind kind)
     : discovery_(discovery),
       kind_(kind),
       client_(discovery.loop_, *this, http::kMaxEndpointListSize, http::Client::UnsizedResponses::kAccept) {}
 
-void DiscoveryClient::Call::Send(const std::string& target, Micros wait, Micros timeout) {
+void DiscoveryClient::Connection::Send(const std::string& target, Micros wait, Micros timeout) {
   wait_ = wait;
   sent_at_ = discovery_.loop_.Now();
-  client_.Get(discovery_.options_.where, discovery_.options_.host, target, timeout);
+  client_.Get(discovery_.options_.address, discovery_.options_.host, target, timeout);
 }
 
 // ---- Requests ----
@@ -50,98 +50,98 @@
   if (options_.pushed) Watch();
 }
 
-// The first request of a long poll doesn't wait, so that the module soon knows that it is subscribed and what
-// it missed. A request that is out already will bring that as well.
+// The first request of a long poll has no wait, so that the module soon receives the current list. A request
+// already in progress has the same effect.
 void DiscoveryClient::Watch() {
   if (!retry_.set()) Send(0, &long_poll_);
 }
 
 void DiscoveryClient::Fetch() { Send(0, &fetch_); }
 
-void DiscoveryClient::Send(Micros wait, Call* call) {
-  if (call->is_out()) return;
+void DiscoveryClient::Send(Micros wait, Connection* connection) {
+  if (connection->is_busy()) return;
   std::string target = kListTarget;
-  if (call->kind() == Kind::kLongPoll && !needs_whole_list_) {
+  if (connection->kind() == Kind::kLongPoll && !needs_snapshot_) {
     target += "?after=" + std::to_string(version_) + "&wait_ms=" + std::to_string(wait / 1000);
   }
-  ++dispatcher_.counters().list_calls;
-  call->Send(target, wait, TimeoutFor(wait));
+  ++dispatcher_.counters().discovery_requests;
+  connection->Send(target, wait, ResponseTimeoutFor(wait));
 }
 
 Micros DiscoveryClient::LongPollTime() const {
-  return options_.pushed ? kPushedLongPollTime : limits::WatchTimes::Wait(options_.ask_within);
+  return options_.pushed ? kPushedLongPollTime : RetrySchedule::LongPollWait(options_.poll_interval);
 }
 
-Micros DiscoveryClient::TimeoutFor(Micros wait) const {
-  return options_.pushed ? wait + kPushedAnswerTime : limits::WatchTimes::AnswerWithin(wait);
+Micros DiscoveryClient::ResponseTimeoutFor(Micros wait) const {
+  return options_.pushed ? wait + kPushedAnswerTime : RetrySchedule::ResponseTimeout(wait);
 }
 
-// The long poll goes on by itself at the new address, at once and whatever pause the old one had earned.
-void DiscoveryClient::Move(const Endpoint& where, std::string host) {
-  options_.where = where;
+// The long poll continues at the new address immediately, without the backoff of the old one.
+void DiscoveryClient::MoveTo(const Endpoint& address, std::string host) {
+  options_.address = address;
   options_.host = std::move(host);
-  needs_whole_list_ = true;
+  needs_snapshot_ = true;
   long_poll_failures_ = 0;
   retry_.Clear();
-  // An answer of the old address may still be on its way.
+  // A response from the old address may still be on its way.
   long_poll_.Cancel();
   fetch_.Cancel();
   Watch();
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
-void DiscoveryClient::OnResponse(Call& call, const http::Message& response) {
+void DiscoveryClient::OnResponse(Connection& connection, const http::Message& response) {
   if (response.status() != kOk) {
-    OnFailure(call, "turned down");
+    OnFailure(connection, "rejected");
     return;
   }
   const std::optional<EndpointList> list = ParseList(response.body(), options_.names);
   if (!list) {
-    OnFailure(call, "malformed list");
+    OnFailure(connection, "malformed list");
     return;
   }
-  OnList(call, *list);
+  OnList(connection, *list);
 }
 
-void DiscoveryClient::OnList(const Call& call, const EndpointList& list) {
-  const bool is_long_poll = call.kind() == Kind::kLongPoll;
-  // A late answer to a fetch must not undo what the long poll has brought since.
-  const bool is_old = !is_long_poll && !needs_whole_list_ && list.version < version_;
+void DiscoveryClient::OnList(const Connection& connection, const EndpointList& list) {
+  const bool is_long_poll = connection.kind() == Kind::kLongPoll;
+  // A late response to a fetch must not undo changes that the long poll has delivered since.
+  const bool is_old = !is_long_poll && !needs_snapshot_ && list.version < version_;
   if (!is_old) version_ = list.version;
-  if (list.kind == EndpointList::Kind::kSnapshot) needs_whole_list_ = false;
+  if (list.kind == EndpointList::Kind::kSnapshot) needs_snapshot_ = false;
   if (is_long_poll) {
     long_poll_failures_ = 0;
-    // Leaves before the list takes effect: it has to come within 200 ms, whatever the list sets off.
+    // Sent before the list is applied: it must be sent within 200 ms, however long that takes.
     Send(LongPollTime(), &long_poll_);
   }
   if (!is_old) dispatcher_.OnEndpointUpdate(list);
 }
 
-void DiscoveryClient::OnRequestFailed(Call& call, http::RequestError error) {
-  const bool is_silent_long_poll = call.kind() == Kind::kLongPoll && call.wait() > 0 && !options_.pushed &&
-                                   error == http::RequestError::kTimedOut;
+void DiscoveryClient::OnRequestFailed(Connection& connection, http::RequestError error) {
+  const bool is_silent_long_poll = connection.kind() == Kind::kLongPoll && connection.wait() > 0 &&
+                                   !options_.pushed && error == http::RequestError::kTimedOut;
   if (is_silent_long_poll) {
     OnSilentLongPoll();
   } else {
-    OnFailure(call, http::ToString(error));
+    OnFailure(connection, http::ToString(error));
   }
 }
 
-// Is opened anew at once: the clock of what it missed is running, and pauses are there to spare a discovery
-// that refused, which this one did not.
+// Reopened without backoff: changes may have been missed, and backoff is meant to relieve an overloaded
+// discovery, which would have rejected the request.
 void DiscoveryClient::OnSilentLongPoll() {
-  ++dispatcher_.counters().list_failures;
-  log_.Info("discovery: a watch failed: silent, opened anew");
+  ++dispatcher_.counters().discovery_failures;
+  log_.Info("discovery: a watch failed: no response in time; reopening it");
   Send(0, &long_poll_);
 }
 
-void DiscoveryClient::OnFailure(const Call& call, const char* why) {
-  ++dispatcher_.counters().list_failures;
-  const bool is_long_poll = call.kind() == Kind::kLongPoll;
+void DiscoveryClient::OnFailure(const Connection& connection, const char* why) {
+  ++dispatcher_.counters().discovery_failures;
+  const bool is_long_poll = connection.kind() == Kind::kLongPoll;
   log_.Info("discovery: a %s failed: %s", is_long_poll ? "watch" : "fetch", why);
   if (is_long_poll) {
-    retry_.Set(PauseAfterFailure(call), [this] { Watch(); });
+    retry_.Set(BackoffAfterFailure(connection), [this] { Watch(); });
     return;
   }
   EndpointList failed;
@@ -149,11 +149,11 @@
   dispatcher_.OnEndpointUpdate(failed);
 }
 
-Micros DiscoveryClient::PauseAfterFailure(const Call& long_poll) {
+Micros DiscoveryClient::BackoffAfterFailure(const Connection& long_poll) {
   if (options_.pushed) return kPushedRetryInterval;
   const Micros took = long_poll.wait() > 0 ? 0 : loop_.Now() - long_poll.sent_at();
   const double draw = static_cast<double>(random_() >> 11) * 0x1.0p-53;
-  return limits::WatchTimes::Pause(options_.ask_within, long_poll_failures_++, took, draw);
+  return RetrySchedule::Backoff(options_.poll_interval, long_poll_failures_++, took, draw);
 }
 
 }  // namespace dappletiller
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,8 +1,8 @@
-// Follows the endpoint list over HTTP: a long poll that, once begun, goes on by itself whatever fails
-// (retry_schedule.hpp says when it is sent again), and single fetches.
+// Follows the endpoint list over HTTP, with a long poll that continues after any failure (retry_schedule.hpp
+// determines when), and with single fetches.
 //
-// Failures of the long poll are handled here, by a clock that the decision module does not see; a failed
-// fetch is reported to the module, which may ask again. Lives on the event loop; nothing throws.
+// Failures of the long poll are retried here; a failed fetch is reported to the decision module, which may
+// fetch again. Lives on the event loop; nothing throws.
 #ifndef DAPPLETILLER_DISCOVERY_DISCOVERY_CLIENT_HPP_
 #define DAPPLETILLER_DISCOVERY_DISCOVERY_CLIENT_HPP_
 
@@ -19,44 +19,44 @@
 namespace dappletiller {
 
 struct DiscoveryOptions {
-  Endpoint where;
+  Endpoint address;
   std::string host;
   Names names;
-  std::uint64_t version = 0;  // of the list that is known at the start
-  Micros ask_within = 0;      // a long poll waits and is answered within this
-  // The list is pushed: the address is an agent on this machine, which is asked without the module's word.
+  std::uint64_t version = 0;  // of the list known at startup
+  Micros poll_interval = 0;   // maximum time between polls; 0: unknown
+  // The list is pushed to an agent on this machine at this address; it is followed without a Watch action.
   bool pushed = false;
-  std::uint64_t seed = 0;  // of the pauses between attempts
+  std::uint64_t seed = 0;  // for the backoff
 };
 
 class DiscoveryClient final : public EndpointSource {
  public:
-  // All must outlive it.
+  // The references must outlive the client.
   DiscoveryClient(EventLoop& loop, Log& log, RequestDispatcher& dispatcher, DiscoveryOptions options);
 
-  // Where lists are pushed, follows them from now on for as long as it lives; else waits for the module.
+  // If lists are pushed, begins to follow them; otherwise waits for Watch.
   void Start();
-  // Of the list that is known; the dispatcher has it in the same round of the loop.
+  // Version of the latest list, which the dispatcher has received.
   std::uint64_t version() const { return version_; }
-  // Begins the long poll; does nothing while it goes on, a pause after a failed attempt included.
+  // Begins the long poll. Has no effect while it is active, including a backoff after a failure.
   void Watch() override;
-  // One request for the whole list.
+  // Requests a snapshot of the list.
   void Fetch() override;
-  // Goes on at another address, beginning with the whole list: a version there may mean something else.
-  void Move(const Endpoint& where, std::string host);
+  // Continues at another address, starting with a snapshot: versions there may have another meaning.
+  void MoveTo(const Endpoint& address, std::string host);
 
  private:
   enum class Kind { kLongPoll, kFetch };
 
-  // One connection to discovery and the request that is out on it.
-  class Call final : private http::Client::Owner {
+  // A connection to discovery with at most one request in progress.
+  class Connection final : private http::Client::Owner {
    public:
-    Call(DiscoveryClient& discovery, Kind kind);
+    Connection(DiscoveryClient& discovery, Kind kind);
     void Send(const std::string& target, Micros wait, Micros timeout);
     void Cancel() { client_.Close(); }
-    bool is_out() const { return client_.is_busy(); }
+    bool is_busy() const { return client_.is_busy(); }
     Kind kind() const { return kind_; }
-    Micros wait() const { return wait_; }  // of the last request, at discovery
+    Micros wait() const { return wait_; }  // how long discovery may hold the last request
     Micros sent_at() const { return sent_at_; }
 
    private:
@@ -70,27 +70,27 @@
     Micros sent_at_ = 0;
   };
 
-  void Send(Micros wait, Call* call);
+  void Send(Micros wait, Connection* connection);
   Micros LongPollTime() const;
-  Micros TimeoutFor(Micros wait) const;
-  void OnResponse(Call& call, const http::Message& response);
-  void OnList(const Call& call, const EndpointList& list);
-  void OnRequestFailed(Call& call, http::RequestError error);
-  void OnFailure(const Call& call, const char* why);
+  Micros ResponseTimeoutFor(Micros wait) const;
+  void OnResponse(Connection& connection, const http::Message& response);
+  void OnList(const Connection& connection, const EndpointList& list);
+  void OnRequestFailed(Connection& connection, http::RequestError error);
+  void OnFailure(const Connection& connection, const char* why);
   void OnSilentLongPoll();
-  Micros PauseAfterFailure(const Call& long_poll);
+  Micros BackoffAfterFailure(const Connection& long_poll);
 
   EventLoop& loop_;
   Log& log_;
   RequestDispatcher& dispatcher_;
   DiscoveryOptions options_;
   std::uint64_t version_;
-  bool needs_whole_list_ = false;  // the known version is not this discovery's
-  int long_poll_failures_ = 0;     // in a row
+  bool needs_snapshot_ = false;  // the known version is not from this address
+  int long_poll_failures_ = 0;   // consecutive
   std::mt19937_64 random_;
-  Call long_poll_;
-  Call fetch_;
-  Timer retry_;  // of a long poll that failed
+  Connection long_poll_;
+  Connection fetch_;
+  Timer retry_;  // backoff of the long poll
 };
 
 }  // namespace dappletiller
--- a/src/discovery/retry_schedule.hpp
+++ b/src/discovery/retry_schedule.hpp
@@ -1,18 +1,18 @@
-// The clock of asking discovery: how long a watch may wait, how long an answer may take, how soon the next
-// call follows one that failed.
+// Timing of requests to discovery: how long a long poll may wait, how long a response may take, and when a
+// failed request is retried.
 //
-// Whatever happened to the calls before, a change counts as told to us 6 s after discovery had it and could
-// be reached (the standing test's page); a watch that falls silent is broken, and what it misses counts as
-// told 6 s after it fell silent, or 2 s after its wait is over if that is later. From then on only the site's
-// drain window is left, half a second at some. So for each way in which the call at hand can end, right after
-// the last moment at which it could have brought the change, the sum of what is waited and paused until the
-// call that brings it is asked has to leave time for its answer:
+// A change counts as notified 6 s after discovery had it and could be reached, whatever happened to the
+// requests before. A watch that falls silent is broken, and the changes it misses count as notified 6 s after
+// it fell silent, or 2 s after its wait is over if that is later. After that only the drain window is left,
+// which may be as short as half a second. So for each way in which a request can end, right after the last
+// moment at which it could have delivered the change, the sum of waits and backoffs until the next request
+// must leave time for its response:
 //
-//     AskedAgainWithin(ask, lost, refusals) + the answer  <=  kToldAfter
+//     MaxTimeToNextRequest(poll_interval, lost, rejections) + response time  <=  kNotifiedAfter
 //
-// The other side of it is the load: a discovery that has come back, or that has too many callers at once,
-// gets no more than a call each LeastPause from each proxy, on the mean one in 0.75 s of the clock's 6, and
-// none of its work is thrown away: a call that it holds in its queue is heard out for over half of the clock.
+// The load on discovery is bounded as well. When discovery has recovered or is overloaded, each proxy sends
+// at most one request per kMinBackoff, on average one in 0.75 s of the 6 s. None of discovery's work is
+// wasted: a request in its queue is waited for over more than half of the 6 s.
 //
 // Pure: no clock, no socket, no random numbers of its own.
 #ifndef DAPPLETILLER_DISCOVERY_RETRY_SCHEDULE_HPP_
@@ -21,89 +21,96 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace dappletiller::limits {
+namespace dappletiller {
 
-struct WatchTimes {
+struct RetrySchedule {
   using Micros = std::int64_t;
 
-  static constexpr Micros kToldAfter = 6'000'000;      // the page's figure
-  static constexpr Micros kToldAfterWait = 2'000'000;  // after a wait is over; the page's figure
+  static constexpr Micros kNotifiedAfter = 6'000'000;      // after discovery had the change
+  static constexpr Micros kNotifiedAfterWait = 2'000'000;  // after the wait of a silent long poll is over
 
-  // A sixth of the clock for the wait and as much for its answer: a silence is noticed with two thirds of the
-  // clock left, enough for a call that stands in discovery's queue. A call that goes on costs it little.
-  static constexpr Micros kLongestWait = kToldAfter / 6;
-  static constexpr Micros kAnswerAfterWait = kToldAfter / 6;
-  // Guards against calls in a tight loop at a site whose ask time is next to nothing.
-  static constexpr Micros kLeastWait = 100'000;
-  // A call that need not wait may stand in discovery's queue. Guards against leaving it there: discovery
-  // works on it all the same, nobody hears the answer, and the calls that replace such ones keep the queue
-  // full.
-  static constexpr Micros kAnswerTime = kToldAfter * 11 / 20;
-  // Between two calls of which the first failed. The longest leaves time for a refusal, another pause and a
-  // call that stands in the queue; the least keeps a site with a short ask time from calling in a tight loop.
-  static constexpr Micros kLongestPause = kToldAfter * 5 / 24;
-  static constexpr Micros kLeastPause = 100'000;
-  static constexpr Micros kMostLeastPause = 2 * kLeastPause;
+  // A sixth of kNotifiedAfter for the wait and another for the response: a silent watch is noticed with two
+  // thirds left, enough for a request that is queued at discovery. Continued long polls cost discovery
+  // little.
+  static constexpr Micros kMaxWait = kNotifiedAfter / 6;
+  static constexpr Micros kResponseMargin = kNotifiedAfter / 6;
+  // Prevents requests in a tight loop where the poll interval is very short.
+  static constexpr Micros kMinWait = 100'000;
+  // Timeout of a request without a wait. It may be queued at discovery. Giving up early would waste
+  // discovery's work, and the requests that replace abandoned ones would keep the queue full.
+  static constexpr Micros kResponseTimeout = kNotifiedAfter * 11 / 20;
+  // Bounds of the time between a failed request and the next. The maximum leaves time for a rejection,
+  // another backoff and a queued request; the minimum prevents a tight loop where the poll interval is short.
+  static constexpr Micros kMaxBackoff = kNotifiedAfter * 5 / 24;
+  static constexpr Micros kMinBackoff = 100'000;
+  static constexpr Micros kMaxMinBackoff = 2 * kMinBackoff;
 
-  // `ask`: the settings' longest time between two calls, 0 if unknown. A wait is half of it at most, so that
-  // one lost answer does not outlast it.
-  static constexpr Micros Wait(Micros ask) {
-    return ask <= 0 ? kLongestWait : std::clamp(ask / 2, kLeastWait, kLongestWait);
+  // Wait of a long poll. `poll_interval`: maximum time between polls according to the settings, 0 if unknown.
+  // The wait is at most half of it, so that a single lost response does not exceed it.
+  static constexpr Micros LongPollWait(Micros poll_interval) {
+    return poll_interval <= 0 ? kMaxWait : std::clamp(poll_interval / 2, kMinWait, kMaxWait);
   }
-  // How long the answer to a call that waits for `wait` may take in all, dialling included.
-  static constexpr Micros AnswerWithin(Micros wait) {
-    return wait > 0 ? wait + kAnswerAfterWait : kAnswerTime;
+  // Maximum time from a request with this wait to its response, including connecting.
+  static constexpr Micros ResponseTimeout(Micros wait) {
+    return wait > 0 ? wait + kResponseMargin : kResponseTimeout;
   }
 
-  // From the end of a call that failed to the next: `failures` in a row before this one, `took`: since the
-  // failed one was asked, if it was a call that need not wait (what it took has been a pause already; 0 for a
-  // watch that ended, else all whose watches end together would call together). `draw` in [0, 1).
-  static constexpr Micros Pause(Micros ask, int failures, Micros took, double draw) {
-    Micros most = std::min(LongestPause(ask), FirstPause(ask) << std::min(failures, 3));
-    auto pause = static_cast<Micros>(static_cast<double>(most) * (0.2 + 0.8 * draw));
-    auto least = static_cast<Micros>(static_cast<double>(kLeastPause) * (1 + draw));
-    return std::max(least, pause - took);
+  // Time from the end of a failed request to the next. `failures`: consecutive failures before this one.
+  // `took`: duration of the failed request if it had no wait, since that has already delayed the next one; 0
+  // for a long poll, or else all proxies whose watches end at the same time would send at the same time.
+  // `draw`: random, in [0, 1).
+  static constexpr Micros Backoff(Micros poll_interval, int failures, Micros took, double draw) {
+    Micros max_backoff =
+        std::min(MaxBackoff(poll_interval), InitialBackoff(poll_interval) << std::min(failures, 3));
+    auto backoff = static_cast<Micros>(static_cast<double>(max_backoff) * (0.2 + 0.8 * draw));
+    auto min_backoff = static_cast<Micros>(static_cast<double>(kMinBackoff) * (1 + draw));
+    return std::max(min_backoff, backoff - took);
   }
 
-  // The longest that passes from the last moment at which the call at hand could have brought a change until
-  // the next one is asked for, `refusals` calls being refused at once in between. `lost`: how long the call
-  // at hand is waited for: AnswerWithin(Wait(ask)) for a watch, kAnswerTime for another, 0 if it was refused.
-  static constexpr Micros AskedAgainWithin(Micros ask, Micros lost, int refusals) {
-    bool watch = lost == AnswerWithin(Wait(ask));
-    // A silent watch is opened anew in the same round; after any other call the least pause is kept.
-    Micros first = watch ? 0 : std::max(kMostLeastPause, LongestPause(ask) - lost);
-    return lost + first + refusals * std::max(kMostLeastPause, LongestPause(ask));
+  // Maximum time from the last moment at which the current request could have delivered a change until the
+  // next request is sent, with `rejections` requests rejected immediately in between. `lost`: how long the
+  // current request is waited for: ResponseTimeout(LongPollWait(poll_interval)) for a long poll,
+  // kResponseTimeout for another request, 0 if it was rejected.
+  static constexpr Micros MaxTimeToNextRequest(Micros poll_interval, Micros lost, int rejections) {
+    bool is_long_poll = lost == ResponseTimeout(LongPollWait(poll_interval));
+    // A silent watch is reopened immediately; after any other request the minimum backoff applies.
+    Micros first = is_long_poll ? 0 : std::max(kMaxMinBackoff, MaxBackoff(poll_interval) - lost);
+    return lost + first + rejections * std::max(kMaxMinBackoff, MaxBackoff(poll_interval));
   }
 
  private:
-  static constexpr Micros FirstPause(Micros ask) {
-    return ask <= 0 ? kLongestPause : std::max<Micros>(1, ask / 10);
+  static constexpr Micros InitialBackoff(Micros poll_interval) {
+    return poll_interval <= 0 ? kMaxBackoff : std::max<Micros>(1, poll_interval / 10);
   }
-  static constexpr Micros LongestPause(Micros ask) {
-    return ask <= 0 ? kLongestPause : std::min(kLongestPause, FirstPause(ask) * 8);
+  static constexpr Micros MaxBackoff(Micros poll_interval) {
+    return poll_interval <= 0 ? kMaxBackoff : std::min(kMaxBackoff, InitialBackoff(poll_interval) * 8);
   }
 };
 
-// The sums, at the longest ask time; shorter ones only shorten waits and pauses (the test goes through them).
-namespace watch_sums {
-using T = WatchTimes;
-constexpr T::Micros kAsk = 1'000'000'000'000;
-constexpr T::Micros kWatch = T::AnswerWithin(T::Wait(kAsk));
-// A watch falls silent; the call that replaces it stands in the queue.
-static_assert(T::AskedAgainWithin(kAsk, kWatch, 0) + T::kAnswerTime <= T::kToldAfter);
-// The same, and the call is refused first: the next one has 2.5 s.
-static_assert(T::AskedAgainWithin(kAsk, kWatch, 1) + 2'500'000 <= T::kToldAfter);
-// The same, and the call that replaces it is silent too: the third has what a call that is served at once
-// takes.
-static_assert(T::AskedAgainWithin(kAsk, kWatch, 0) + T::AskedAgainWithin(kAsk, T::kAnswerTime, 0) + 500'000 <=
-              T::kToldAfter);
-// Discovery is back right after it refused a call, has too many callers at the next, holds the third in its
-// queue.
-static_assert(T::AskedAgainWithin(kAsk, 0, 1) + T::kAnswerTime <= T::kToldAfter);
-// It accepts and says nothing, or half, until right after a call was asked: one more refusal fits.
-static_assert(T::AskedAgainWithin(kAsk, T::kAnswerTime, 1) + 1'000'000 <= T::kToldAfter);
-}  // namespace watch_sums
+// Checks of the sums for the longest poll interval. Shorter ones only shorten waits and backoffs; the tests
+// cover them.
+namespace schedule_checks {
+using T = RetrySchedule;
+constexpr T::Micros kLongestPollInterval = 1'000'000'000'000;
+constexpr T::Micros kWatchTimeout = T::ResponseTimeout(T::LongPollWait(kLongestPollInterval));
+// A watch falls silent; the request that replaces it is queued at discovery.
+static_assert(T::MaxTimeToNextRequest(kLongestPollInterval, kWatchTimeout, 0) + T::kResponseTimeout <=
+              T::kNotifiedAfter);
+// The same, but the request is rejected first: the next one has 2.5 s.
+static_assert(T::MaxTimeToNextRequest(kLongestPollInterval, kWatchTimeout, 1) + 2'500'000 <=
+              T::kNotifiedAfter);
+// The same, but the replacement is silent too: the third request has enough time if it is served at once.
+static_assert(T::MaxTimeToNextRequest(kLongestPollInterval, kWatchTimeout, 0) +
+                  T::MaxTimeToNextRequest(kLongestPollInterval, T::kResponseTimeout, 0) + 500'000 <=
+              T::kNotifiedAfter);
+// Discovery recovers right after rejecting a request, is overloaded at the next, and queues the third.
+static_assert(T::MaxTimeToNextRequest(kLongestPollInterval, 0, 1) + T::kResponseTimeout <= T::kNotifiedAfter);
+// Discovery accepts a request but sends no complete response, and recovers right afterwards: one more
+// rejection is possible.
+static_assert(T::MaxTimeToNextRequest(kLongestPollInterval, T::kResponseTimeout, 1) + 1'000'000 <=
+              T::kNotifiedAfter);
+}  // namespace schedule_checks
 
-}  // namespace dappletiller::limits
+}  // namespace dappletiller
 
 #endif  // DAPPLETILLER_DISCOVERY_RETRY_SCHEDULE_HPP_
--- a/src/dispatch/counters.hpp
+++ b/src/dispatch/counters.hpp
@@ -1,5 +1,5 @@
-// What passed through this proxy since the last log line about it: plain counts, so that a whole fleet's logs
-// can be added up second by second (tools/fleet_table). Counting decides nothing.
+// Traffic counters of this proxy since the last log line about them. Plain counts, so that the logs of a
+// whole fleet can be added up second by second (tools/fleet_table). They influence no decision.
 #ifndef DAPPLETILLER_DISPATCH_COUNTERS_HPP_
 #define DAPPLETILLER_DISPATCH_COUNTERS_HPP_
 
@@ -10,16 +10,19 @@
 struct TrafficCounters {
   int arrived = 0;
   int served = 0;
-  int refused = 0;
+  int rejected = 0;
   int failed = 0;
-  int left = 0;  // the client disconnected first
-  int sent = 0;  // attempts
-  int dialled = 0;
-  int list_calls = 0;
-  int list_failures = 0;
-  std::array<int, 8> ended{};  // attempts by AttemptOutcome
+  int client_disconnected = 0;  // before the final outcome
+  int attempts_sent = 0;
+  int connections_opened = 0;  // to upstream servers
+  int discovery_requests = 0;
+  int discovery_failures = 0;
+  std::array<int, 8> attempts_by_outcome{};  // indexed by AttemptOutcome
 
-  bool empty() const { return arrived + served + refused + failed + left + sent + list_calls == 0; }
+  bool empty() const {
+    return arrived + served + rejected + failed + client_disconnected + attempts_sent + discovery_requests ==
+           0;
+  }
 };
 
 }  // namespace dappletiller
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -10,9 +10,9 @@
 namespace dappletiller {
 namespace {
 
-constexpr Micros kTellEvery = 1'000'000;
+constexpr Micros kCounterLogInterval = 1'000'000;
 
-// The seam between the names of this code and the module's.
+// Conversion between the dispatcher's types and the module's.
 balancer::Outcome Translate(AttemptOutcome end) {
   switch (end) {
     case AttemptOutcome::kAnswered:
@@ -72,36 +72,37 @@
 }
 
 TrafficCounters& RequestDispatcher::counters() {
-  // On demand: a proxy at rest isn't woken to say that nothing passes.
-  if (!log_counters_.set()) log_counters_.Set(kTellEvery, [this] { LogCounters(); });
+  // Set on demand, so that an idle proxy is not woken up to log nothing.
+  if (!log_counters_.set()) log_counters_.Set(kCounterLogInterval, [this] { LogCounters(); });
   return counters_;
 }
 
 void RequestDispatcher::LogCounters() {
   const TrafficCounters t = std::exchange(counters_, {});
   if (t.empty()) return;
-  std::string answered = "never answered";
-  if (listed_at_ != 0) {
+  std::string last_answer = "never answered";
+  if (last_list_at_ != 0) {
     char text[40];
     std::snprintf(text, sizeof text, "answered %.1f s ago",
-                  static_cast<double>(loop_.Now() - listed_at_) / 1e6);
-    answered = text;
+                  static_cast<double>(loop_.Now() - last_list_at_) / 1e6);
+    last_answer = text;
   }
-  auto ended = [&t](AttemptOutcome end) { return t.ended[static_cast<std::size_t>(end)]; };
+  auto ended = [&t](AttemptOutcome end) { return t.attempts_by_outcome[static_cast<std::size_t>(end)]; };
   log_.Info(
       "passed: %d in, %d served, %d refused, %d failed, %d left, %zu open; sent %d, dialled %d; ended %d ok, "
       "%d error, %d turned away, %d timed out, %d unreachable, %d reset, %d given up, %d not sent; list "
       "calls %d, failed %d, %s",
-      t.arrived, t.served, t.refused, t.failed, t.left, open_requests_, t.sent, t.dialled,
-      ended(AttemptOutcome::kAnswered), ended(AttemptOutcome::kError), ended(AttemptOutcome::kRejected),
-      ended(AttemptOutcome::kTimedOut), ended(AttemptOutcome::kUnreachable), ended(AttemptOutcome::kReset),
-      ended(AttemptOutcome::kCancelled), ended(AttemptOutcome::kNotSent), t.list_calls, t.list_failures,
-      answered.c_str());
-  log_counters_.Set(kTellEvery, [this] { LogCounters(); });
+      t.arrived, t.served, t.rejected, t.failed, t.client_disconnected, open_requests_, t.attempts_sent,
+      t.connections_opened, ended(AttemptOutcome::kAnswered), ended(AttemptOutcome::kError),
+      ended(AttemptOutcome::kRejected), ended(AttemptOutcome::kTimedOut), ended(AttemptOutcome::kUnreachable),
+      ended(AttemptOutcome::kReset), ended(AttemptOutcome::kCancelled), ended(AttemptOutcome::kNotSent),
+      t.discovery_requests, t.discovery_failures, last_answer.c_str());
+  log_counters_.Set(kCounterLogInterval, [this] { LogCounters(); });
 }
 
-// Carrying an action out may bring the next event at once (a connection refused on the spot). Such an event
-// waits until the actions at hand are done: the module must not be entered twice, and order counts.
+// Executing an action may cause the next event immediately, such as a refused connection. That event is
+// queued until the current actions are executed: the module is not reentrant, and the order of actions
+// matters.
 void RequestDispatcher::Deliver(balancer::Event event) {
   events_.push_back(std::move(event));
   if (delivering_) return;
@@ -117,7 +118,7 @@
     }
   }
   delivering_ = false;
-  for (RequestId id : std::exchange(over_, {})) EraseIfOver(id);
+  for (RequestId id : std::exchange(finished_, {})) EraseIfFinished(id);
 }
 
 void RequestDispatcher::OnRequest(RequestId id, IncomingRequest incoming, ResponseSink& sink) {
@@ -138,7 +139,7 @@
   Deliver(event);
 }
 
-// Ends a call towards its sink; null if that has been done before.
+// Detaches and returns the request's sink; null if it has been detached before.
 ResponseSink* RequestDispatcher::CloseRequest(RequestId id) {
   auto it = requests_.find(id);
   if (it == requests_.end() || it->second.sink == nullptr) return nullptr;
@@ -146,26 +147,27 @@
   return std::exchange(it->second.sink, nullptr);
 }
 
-// Guards against an action for a call that went while its event still waited: the module, not yet told, may
-// send it once more and is owed an outcome with the right number.
-void RequestDispatcher::EraseIfOver(RequestId id) {
+// While events are queued, the request is kept: the module may not know yet that the request has ended, may
+// send another attempt, and must receive an outcome with the right attempt number.
+void RequestDispatcher::EraseIfFinished(RequestId id) {
   if (delivering_) {
-    over_.push_back(id);
+    finished_.push_back(id);
     return;
   }
   auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.sink == nullptr && it->second.out == 0) requests_.erase(it);
+  if (it != requests_.end() && it->second.sink == nullptr && it->second.attempts_in_flight == 0)
+    requests_.erase(it);
 }
 
 void RequestDispatcher::OnClientDisconnected(RequestId id) {
   if (CloseRequest(id) == nullptr) return;
-  ++counters().left;
+  ++counters().client_disconnected;
   Deliver(balancer::ClientDisconnected{id});
   RevokeUnsentAttempts(id);
-  EraseIfOver(id);
+  EraseIfFinished(id);
 }
 
-// What has been sent may have run, and its client must not take it for refused.
+// A request with attempts may have run, so it is failed, not rejected.
 void RequestDispatcher::EndOpenRequests() {
   std::vector<RequestId> open;
   for (const auto& [id, request] : requests_) {
@@ -176,45 +178,45 @@
     bool sent = it != requests_.end() && !it->second.attempts.empty();
     ResponseSink* sink = CloseRequest(id);
     if (sink == nullptr) continue;
-    ++(sent ? counters().failed : counters().refused);
+    ++(sent ? counters().failed : counters().rejected);
     sent ? sink->OnFailed() : sink->OnRejected(0);
     Deliver(balancer::ClientDisconnected{id});
     RevokeUnsentAttempts(id);
-    EraseIfOver(id);
+    EraseIfFinished(id);
   }
 }
 
-// Guards against sending on for nobody: the module calls off only what the settings let it, but what is not
-// written whole has not been sent at all.
+// Stops attempts of a finished request that are not completely written. The module cancels attempts only
+// where the settings permit it, but these have not been sent at all.
 void RequestDispatcher::RevokeUnsentAttempts(RequestId id) {
   auto it = requests_.find(id);
   if (it == requests_.end()) return;
-  std::vector<AttemptKey> out;
+  std::vector<AttemptKey> in_flight;
   for (std::size_t i = 0; i < it->second.attempts.size(); ++i) {
-    if (it->second.attempts[i].out) out.push_back({id, static_cast<int>(i)});
+    if (it->second.attempts[i].in_flight) in_flight.push_back({id, static_cast<int>(i)});
   }
-  for (const AttemptKey& key : out) RevokeUnsentAttempt(key);
+  for (const AttemptKey& key : in_flight) RevokeUnsentAttempt(key);
 }
 
-// Guards against what becomes due while its bytes can't leave yet: a connection that comes up late, a process
-// that stood still. The client's end may lie in the kernel behind what this round still handles.
+// The write may have become obsolete while it was delayed by a slow connection or a stalled process. The
+// client's disconnect may be known to the kernel only, behind events that are still to be processed.
 bool RequestDispatcher::MayWrite(AttemptKey key) {
   auto it = requests_.find(key.request);
-  // Not one of ours: nothing here speaks against it.
+  // Unknown attempt: no reason to refuse.
   if (it == requests_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return true;
   Request& request = it->second;
   if (request.sink != nullptr && request.sink->ClientHasLeft()) OnClientDisconnected(key.request);
-  // Left forgets the call if nothing of it is out any more.
+  // OnClientDisconnected erases the request if it has no attempt in flight.
   it = requests_.find(key.request);
   if (it == requests_.end()) return false;
   const SentAttempt& sent = it->second.attempts[static_cast<std::size_t>(key.number)];
-  if (!sent.out) return false;
+  if (!sent.in_flight) return false;
   if (loop_.Now() < sent.write_by) return true;
   RevokeUnsentAttempt(key);
   return false;
 }
 
-// Gives up what has not been written whole: it never runs.
+// Cancels the attempt if it is not completely written; it cannot have run.
 void RequestDispatcher::RevokeUnsentAttempt(AttemptKey key) {
   if (upstream_->RevokeUnsent(key)) OnAttemptEnded(key, AttemptOutcome::kNotSent, nullptr);
 }
@@ -223,20 +225,20 @@
   auto it = requests_.find(key.request);
   if (it == requests_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return;
   SentAttempt& sent = it->second.attempts[static_cast<std::size_t>(key.number)];
-  // Guards against a second outcome of one attempt: the module is owed exactly one.
-  if (!sent.out) return;
-  sent.out = false;
-  sent.timeout.reset();
-  sent.unwritten.reset();
-  --it->second.out;
-  ++counters().ended[static_cast<std::size_t>(outcome)];
-  // The first answer of a worker is the call's; a later one comes to nobody.
+  // The module must receive exactly one outcome for each attempt.
+  if (!sent.in_flight) return;
+  sent.in_flight = false;
+  sent.timeout_timer.reset();
+  sent.write_timer.reset();
+  --it->second.attempts_in_flight;
+  ++counters().attempts_by_outcome[static_cast<std::size_t>(outcome)];
+  // The first successful response is the request's outcome; later ones are dropped.
   ResponseSink* sink = outcome == AttemptOutcome::kAnswered ? CloseRequest(key.request) : nullptr;
   balancer::AttemptEnded event;
   event.id = key.request;
   event.attempt = key.number;
   event.outcome = Translate(outcome);
-  event.latency = std::max<Micros>(0, loop_.Now() - sent.at);
+  event.latency = std::max<Micros>(0, loop_.Now() - sent.sent_at);
   event.request_finished = it->second.sink == nullptr;
   if (sink != nullptr) {
     ++counters().served;
@@ -244,22 +246,22 @@
   }
   Deliver(std::move(event));
   if (sink != nullptr) RevokeUnsentAttempts(key.request);
-  EraseIfOver(key.request);
+  EraseIfFinished(key.request);
 }
 
 void RequestDispatcher::OnEndpointUpdate(const EndpointList& list) {
-  bool told = list.kind == EndpointList::Kind::kSnapshot || list.kind == EndpointList::Kind::kDelta;
-  // Guards against the module placing every worker anew, each second, for a watch that had nothing to tell.
-  // The first answer always counts: from it the module knows that it is subscribed.
-  bool news = listed_at_ == 0 || list.kind != EndpointList::Kind::kDelta || !list.entries.empty();
-  if (told) listed_at_ = loop_.Now();
-  if (news) ApplyEndpoints(list);
+  bool has_list = list.kind == EndpointList::Kind::kSnapshot || list.kind == EndpointList::Kind::kDelta;
+  // An empty delta is not passed on, since the module would update all servers each second. The first
+  // response is always passed on: it tells the module that the watch is established.
+  bool has_changes = last_list_at_ == 0 || list.kind != EndpointList::Kind::kDelta || !list.entries.empty();
+  if (has_list) last_list_at_ = loop_.Now();
+  if (has_changes) ApplyEndpoints(list);
 }
 
 bool RequestDispatcher::Drain(const std::string& uid) {
   if (ever_listed_.count(uid) == 0) return false;
   if (drains_.Drain(uid)) {
-    log_.Info("worker %s is drained by the operators until they undrain it", uid.c_str());
+    log_.Info("server %s drained by the operators; it gets no requests until it is undrained", uid.c_str());
     ReapplyEndpoint(uid);
   }
   return true;
@@ -268,32 +270,32 @@
 bool RequestDispatcher::Undrain(const std::string& uid) {
   if (ever_listed_.count(uid) == 0) return false;
   if (drains_.Undrain(uid, ToTimePoint(loop_.Now()))) {
-    log_.Info("worker %s is undrained by the operators: slow start from now", uid.c_str());
+    log_.Info("server %s undrained by the operators; slow start begins now", uid.c_str());
     ReapplyEndpoint(uid);
   }
   return true;
 }
 
-// The module hears of the worker again as discovery last listed it, with what the operators said on top.
+// Passes the server's last listed state to the module again, combined with the administrative drains.
 void RequestDispatcher::ReapplyEndpoint(const std::string& uid) {
   auto it = servers_by_uid_.find(uid);
   if (it == servers_by_uid_.end()) return;
-  EndpointList one;
-  one.kind = EndpointList::Kind::kDelta;
-  one.entries.push_back(it->second.last);
-  ApplyEndpoints(one);
+  EndpointList update;
+  update.kind = EndpointList::Kind::kDelta;
+  update.entries.push_back(it->second.listed);
+  ApplyEndpoints(update);
 }
 
 void RequestDispatcher::ApplyEndpoints(const EndpointList& list) {
   balancer::EndpointListUpdate event;
   event.kind = Translate(list.kind);
-  std::set<std::string> named;
-  std::vector<ServerId> draining, gone;
+  std::set<std::string> listed_uids;
+  std::vector<ServerId> draining, removed;
   for (const EndpointEntry& listed : list.entries) {
-    auto [it, fresh] = servers_by_uid_.try_emplace(listed.uid);
+    auto [it, inserted] = servers_by_uid_.try_emplace(listed.uid);
     KnownServer& known = it->second;
-    if (fresh) known.id = ++last_server_id_;
-    known.last = listed;
+    if (inserted) known.id = ++last_server_id_;
+    known.listed = listed;
     ever_listed_.insert(listed.uid);
     EndpointEntry entry = listed;
     if (entry.state != EndpointState::kRemoved && drains_.IsDrained(entry.uid))
@@ -301,11 +303,11 @@
     entry.boot_unix = ToMicros(drains_.EffectiveStart(entry.uid, ToTimePoint(entry.boot_unix)));
     if (entry.state != EndpointState::kRemoved && !(known.endpoint == entry.endpoint)) {
       std::uint32_t a = entry.endpoint.address;
-      log_.Info("worker %u is %s at %u.%u.%u.%u:%u", known.id, entry.uid.c_str(), a >> 24, a >> 16 & 255,
+      log_.Info("server %u is %s at %u.%u.%u.%u:%u", known.id, entry.uid.c_str(), a >> 24, a >> 16 & 255,
                 a >> 8 & 255, a & 255, entry.endpoint.port);
       known.endpoint = entry.endpoint;
     }
-    named.insert(entry.uid);
+    listed_uids.insert(entry.uid);
     if (entry.state != EndpointState::kRemoved) upstream_->SetEndpoint(known.id, entry.endpoint);
     if (entry.state == EndpointState::kDraining) draining.push_back(known.id);
     balancer::ServerEntry server;
@@ -315,26 +317,27 @@
     server.cell = entry.cell;
     server.state = Translate(entry.state);
     server.concurrency = entry.concurrency;
-    // The loop's clock began as Unix time and runs at the same pace, so that a start's time, converted again
-    // with each list, never seems to change: to the module that would be a restart.
+    // The event loop's clock starts as Unix time and is never adjusted, so a start time is the same in each
+    // list. A changed start time would count as a restart.
     server.started_at = entry.boot_unix;
     event.entries.push_back(server);
     if (entry.state != EndpointState::kRemoved) continue;
-    gone.push_back(known.id);
+    removed.push_back(known.id);
     servers_by_uid_.erase(it);
   }
-  // Guards against tables that grow for as long as workers are replaced: who is gone is forgotten.
+  // Forgets removed servers, so that the tables do not grow as servers are replaced.
   if (list.kind == EndpointList::Kind::kSnapshot || list.kind == EndpointList::Kind::kCached) {
     std::erase_if(servers_by_uid_, [&](const auto& known) {
-      bool absent = named.count(known.first) == 0;
-      if (absent) gone.push_back(known.second.id);
-      return absent;
+      bool missing = listed_uids.count(known.first) == 0;
+      if (missing) removed.push_back(known.second.id);
+      return missing;
     });
   }
-  // The module hears first: what is called off below must not be sent to another that is leaving too.
+  // The module is updated first: attempts cancelled below must not be retried on another server that is
+  // draining too.
   Deliver(std::move(event));
   for (ServerId id : draining) upstream_->StopUsing(id);
-  for (ServerId id : gone) upstream_->Remove(id);
+  for (ServerId id : removed) upstream_->Remove(id);
 }
 
 // ---- Actions ----
@@ -345,20 +348,20 @@
   Request& request = it->second;
   AttemptKey key{action.id, static_cast<int>(request.attempts.size())};
   SentAttempt& sent = request.attempts.emplace_back();
-  ++request.out;
-  ++counters().sent;
-  sent.at = loop_.Now();
+  ++request.attempts_in_flight;
+  ++counters().attempts_sent;
+  sent.sent_at = loop_.Now();
   if (request.sink == nullptr) return OnAttemptEnded(key, AttemptOutcome::kNotSent, nullptr);
   if (action.timeout <= 0) return OnAttemptEnded(key, AttemptOutcome::kTimedOut, nullptr);
-  sent.timeout = std::make_unique<Timer>(loop_);
-  sent.timeout->Set(action.timeout, [this, key] {
+  sent.timeout_timer = std::make_unique<Timer>(loop_);
+  sent.timeout_timer->Set(action.timeout, [this, key] {
     upstream_->Cancel(key);
     OnAttemptEnded(key, AttemptOutcome::kTimedOut, nullptr);
   });
-  sent.write_by = sent.at + action.write_timeout;
+  sent.write_by = sent.sent_at + action.write_timeout;
   if (action.write_timeout < action.timeout) {
-    sent.unwritten = std::make_unique<Timer>(loop_);
-    sent.unwritten->Set(action.write_timeout, [this, key] { RevokeUnsentAttempt(key); });
+    sent.write_timer = std::make_unique<Timer>(loop_);
+    sent.write_timer->Set(action.write_timeout, [this, key] { RevokeUnsentAttempt(key); });
   }
   upstream_->Start({key, action.server, action.timeout, request.payload});
 }
@@ -366,10 +369,10 @@
 void RequestDispatcher::Execute(const balancer::Reject& action) {
   ResponseSink* sink = CloseRequest(action.id);
   if (sink != nullptr) {
-    ++counters().refused;
+    ++counters().rejected;
     sink->OnRejected(action.retry_after);
   }
-  EraseIfOver(action.id);
+  EraseIfFinished(action.id);
 }
 
 void RequestDispatcher::Execute(const balancer::Fail& action) {
@@ -378,7 +381,7 @@
     ++counters().failed;
     sink->OnFailed();
   }
-  EraseIfOver(action.id);
+  EraseIfFinished(action.id);
 }
 
 void RequestDispatcher::Execute(const balancer::Cancel& action) {
@@ -386,15 +389,15 @@
   auto it = requests_.find(action.id);
   if (it == requests_.end() || action.attempt < 0 ||
       action.attempt >= static_cast<int>(it->second.attempts.size()) ||
-      !it->second.attempts[static_cast<std::size_t>(action.attempt)].out) {
-    return;  // it ended while this action was on its way
+      !it->second.attempts[static_cast<std::size_t>(action.attempt)].in_flight) {
+    return;  // it has ended since the action was issued
   }
   upstream_->Cancel(key);
   OnAttemptEnded(key, AttemptOutcome::kCancelled, nullptr);
 }
 
-// Each request for a wake-up replaces the one before it, also when the earlier one is due and has not run
-// yet: an event that is handled after its due time runs the module's alarms and asks for the next of them.
+// Replaces the previous wake-up, even one that is due and has not run yet: any event that is handled after
+// its due time runs the module's timers and schedules the next wake-up.
 void RequestDispatcher::Execute(const balancer::WakeAfter& action) {
   wake_.Set(action.delay, [this] { Deliver(balancer::TimerFired{}); });
 }
--- a/src/dispatch/request_dispatcher.hpp
+++ b/src/dispatch/request_dispatcher.hpp
@@ -1,9 +1,9 @@
 // The request table: owns the decision module, every request and every attempt.
 //
-// It turns what happens (a request, an attempt's outcome, a list) into the module's events, and executes the
-// module's actions. It decides nothing and knows no protocol. What always holds: a request has one final
-// outcome, given to its ResponseSink once, and the module is told exactly one outcome of each attempt. Lives
-// on the event loop.
+// It converts what happens (a request, the outcome of an attempt, an endpoint list) into the module's events
+// and executes the module's actions. It decides nothing and knows no protocol. Invariants: a request has one
+// final outcome, given to its ResponseSink once; the module receives exactly one outcome for each attempt.
+// Lives on the event loop.
 #ifndef DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
 #define DAPPLETILLER_DISPATCH_REQUEST_DISPATCHER_HPP_
 
@@ -27,44 +27,44 @@
 
 class RequestDispatcher {
  public:
-  // Throws std::invalid_argument for settings that the module can't work with.
+  // Throws std::invalid_argument for settings that the module rejects.
   RequestDispatcher(EventLoop& loop, Log& log, const balancer::Settings& settings);
-  // To be called once, before anything else. Both must outlive it.
+  // Must be called once, before any other function. Both objects must outlive the dispatcher.
   void Connect(UpstreamTransport& upstream, EndpointSource& endpoints);
 
-  // From the listener. The sink is given the final outcome once, unless OnClientDisconnected comes first;
-  // that may happen before OnRequest returns.
+  // From the listener. The sink receives the final outcome once, unless OnClientDisconnected comes first. It
+  // may be called before OnRequest returns.
   RequestId NewRequestId() { return ++last_request_id_; }
   void OnRequest(RequestId id, IncomingRequest incoming, ResponseSink& sink);
   void OnClientDisconnected(RequestId id);
-  // Gives every open request its final outcome now: the process ends before their deadlines.
+  // Ends every open request now, when the process terminates before their deadlines.
   void EndOpenRequests();
-  // From the upstream transport: bytes of an attempt are about to be handed to the kernel. False: none may,
-  // since its client has left or its time to be written is over; the attempt has then been cancelled and
-  // ended.
+  // From the upstream transport, before it passes bytes of an attempt to the kernel. False: nothing may be
+  // written, since the client has disconnected or the write timeout is over; the attempt has then been
+  // cancelled and ended.
   bool MayWrite(AttemptKey key);
-  // From the upstream transport: how an attempt ended; unknown ones are ignored.
+  // From the upstream transport: an attempt has ended. Unknown attempts are ignored.
   void OnAttemptEnded(AttemptKey key, AttemptOutcome outcome, PayloadRef response);
   // From discovery.
   void OnEndpointUpdate(const EndpointList& list);
-  // From the quota leases: how much of what all proxies share this one may use, until when.
+  // From the quota leases: this proxy's share of the quotas, and until when it is valid.
   void SetQuotaShare(double share, Micros valid_until) {
     Deliver(balancer::QuotaShareGranted{share, valid_until});
   }
-  // From the configuration feed: the settings of the tenant with this index (the listener's NameTenant) from
-  // now on, or that the index is free.
+  // From the configuration feed: new settings of the tenant with this index (see the listener's AddTenant),
+  // or that the index is no longer in use.
   void SetTenant(int index, bool active, const balancer::TenantSettings& tenant) {
     Deliver(balancer::TenantChanged{index, active, tenant});
   }
-  // From the operators: a server that counts as draining from now on, whatever discovery lists, and its
-  // return through slow start. False: discovery never named it. Repeating either is harmless.
+  // From the operators. Drain: the server counts as draining, regardless of discovery. Undrain: it returns
+  // through slow start. False: discovery has never listed the server. Both are idempotent.
   bool Drain(const std::string& uid);
   bool Undrain(const std::string& uid);
-  // To hand to a successor, and as a predecessor handed them on.
+  // For the state file that passes the drains on to a successor process.
   const drain::AdministrativeDrains& drains() const { return drains_; }
   void RestoreDrains(drain::AdministrativeDrains drains) { drains_ = std::move(drains); }
 
-  // Counts for the line that is logged once a second while anything passes; other parts add theirs.
+  // Counters for the log line that is written once a second while there is traffic. Other parts add theirs.
   TrafficCounters& counters();
 
   std::size_t open_requests() const { return open_requests_; }
@@ -73,22 +73,22 @@
 
  private:
   struct SentAttempt {
-    bool out = true;
-    Micros at = 0;
-    Micros write_by = 0;  // not written whole by then, it is revoked
-    std::unique_ptr<Timer> timeout;
-    std::unique_ptr<Timer> unwritten;  // until write_by, if that comes before the limit
+    bool in_flight = true;
+    Micros sent_at = 0;
+    Micros write_by = 0;  // revoked if it is not completely written by then
+    std::unique_ptr<Timer> timeout_timer;
+    std::unique_ptr<Timer> write_timer;  // until write_by, if that is before the timeout
   };
   struct Request {
-    ResponseSink* sink = nullptr;  // null once it has its answer or has left
+    ResponseSink* sink = nullptr;  // null after the final outcome or the client's disconnect
     PayloadRef payload;
     std::vector<SentAttempt> attempts;
-    int out = 0;  // attempts that have not ended
+    int attempts_in_flight = 0;  // number of attempts in flight
   };
   struct KnownServer {
     ServerId id = 0;
     Endpoint endpoint;
-    EndpointEntry last;  // as discovery last listed it
+    EndpointEntry listed;  // as last listed by discovery
   };
 
   void Deliver(balancer::Event event);
@@ -105,7 +105,7 @@
   ResponseSink* CloseRequest(RequestId id);
   void RevokeUnsentAttempts(RequestId id);
   void RevokeUnsentAttempt(AttemptKey key);
-  void EraseIfOver(RequestId id);
+  void EraseIfFinished(RequestId id);
   void LogCounters();
 
   EventLoop& loop_;
@@ -120,13 +120,13 @@
   std::size_t open_requests_ = 0;
   std::deque<balancer::Event> events_;
   bool delivering_ = false;
-  std::vector<RequestId> over_;  // to be erased once all events are delivered
+  std::vector<RequestId> finished_;  // to be erased after all events have been delivered
   Timer wake_;
   TrafficCounters counters_;
   Timer log_counters_;
   drain::AdministrativeDrains drains_;
-  std::set<std::string> ever_listed_;  // bounded by the uids that discovery ever gave
-  Micros listed_at_ = 0;               // when discovery last answered; 0: never
+  std::set<std::string> ever_listed_;  // grows with the number of uids that discovery has ever listed
+  Micros last_list_at_ = 0;            // time of discovery's last response; 0: none yet
 };
 
 }  // namespace dappletiller
--- a/src/dispatch/types.hpp
+++ b/src/dispatch/types.hpp
@@ -1,6 +1,5 @@
-// What the dispatcher shares with the parts below and beside it: requests, attempts, the endpoint list.
-// Nothing here knows a protocol, so a second one can bring its own listener and transport and go through the
-// same decisions and rules.
+// Types and interfaces between the dispatcher and its drivers: requests, attempts, the endpoint list. They
+// are independent of the protocol, so another protocol can provide its own listener and transport.
 #ifndef DAPPLETILLER_DISPATCH_TYPES_HPP_
 #define DAPPLETILLER_DISPATCH_TYPES_HPP_
 
@@ -19,26 +18,26 @@
 using RequestId = std::uint64_t;
 using ServerId = std::uint32_t;
 
-// A client's request as it comes in.
+// A request as received from a client.
 struct IncomingRequest {
   int request_class = 0;  // its index in the settings
-  int tenant = -1;        // its index in the settings; -1: none that they name
+  int tenant = -1;        // its index in the settings; -1: unknown tenant
   Micros deadline = 0;    // when the client gives up
   std::optional<Micros> work_hint;
   bool client_retry = false;
   PayloadRef payload;
-  // When this process must have answered, since it may be gone after that; 0: no such limit. Apart from the
-  // client's deadline, which says how long the client has been trying.
+  // When this process must have answered because it may terminate afterwards; 0: no limit. Separate from the
+  // client's deadline, which also tells how long the client has been trying.
   Micros answer_by = 0;
 };
 
-// The side that waits for a request's final outcome. Exactly one of the first three is called, once.
+// Receives a request's final outcome. Exactly one of the first three functions is called, once.
 class ResponseSink {
  public:
   virtual void OnResponse(PayloadRef response) = 0;
-  virtual void OnRejected(Micros retry_after) = 0;  // 0: no advice
+  virtual void OnRejected(Micros retry_after) = 0;  // 0: no Retry-After
   virtual void OnFailed() = 0;
-  // Whether the client has left, as the kernel knows it now: the end of its connection may not have been read
+  // Whether the client has disconnected according to the kernel, even if the end of stream has not been read
   // yet.
   virtual bool ClientHasLeft() const = 0;
 
@@ -53,8 +52,9 @@
 };
 struct AttemptKeyHash {
   std::size_t operator()(const AttemptKey& key) const {
-    constexpr std::uint64_t kUsualAttempts = 64;
-    return std::hash<std::uint64_t>()(key.request * kUsualAttempts + static_cast<std::uint64_t>(key.number));
+    constexpr std::uint64_t kTypicalMaxAttempts = 64;
+    return std::hash<std::uint64_t>()(key.request * kTypicalMaxAttempts +
+                                      static_cast<std::uint64_t>(key.number));
   }
 };
 
@@ -62,34 +62,34 @@
 enum class AttemptOutcome {
   kAnswered,
   kError,        // the server answered with an error; the request may have run
-  kRejected,     // the server says that the request never ran
-  kTimedOut,     // no answer in time
-  kUnreachable,  // the request was never written whole
-  kReset,        // the connection broke after that; the request may have run
-  kCancelled,    // by us
-  kNotSent       // never left this process
+  kRejected,     // the server reports that the request was not run
+  kTimedOut,     // no response in time
+  kUnreachable,  // the request was not written completely
+  kReset,        // the connection broke after the request was written; it may have run
+  kCancelled,    // by this proxy
+  kNotSent       // never written
 };
 
 struct Attempt {
   AttemptKey key;
   ServerId server = 0;
-  Micros timeout = 0;  // how long the answer is waited for
+  Micros timeout = 0;  // maximum time to wait for the response
   PayloadRef payload;
 };
 
-// The side that carries attempts to upstream servers. After Cancel nothing more is reported of that attempt.
+// Sends attempts to upstream servers. After Cancel, nothing more is reported about that attempt.
 class UpstreamTransport {
  public:
   virtual void Start(const Attempt& attempt) = 0;
   virtual void Cancel(AttemptKey key) = 0;
-  // Cancels an attempt whose last byte is not written yet, so that it never runs. False: it is written, or
-  // unknown; it goes on.
+  // Cancels an attempt unless its last byte has been written, so it cannot run. False: it is written or
+  // unknown, and is not cancelled.
   virtual bool RevokeUnsent(AttemptKey key) = 0;
   virtual void SetEndpoint(ServerId server, const Endpoint& endpoint) = 0;
-  // The server takes no new requests: its unused connections can go, and what has not begun to be sent ends
-  // unreachable.
+  // The server accepts no new requests: closes its idle connections, and ends attempts that are still
+  // connecting as unreachable.
   virtual void StopUsing(ServerId server) = 0;
-  virtual void Remove(ServerId server) = 0;  // for good: nothing is sent there again
+  virtual void Remove(ServerId server) = 0;  // permanently: nothing is sent to the server again
 
  protected:
   ~UpstreamTransport() = default;
@@ -97,7 +97,7 @@
 
 enum class EndpointState { kRemoved, kReady, kDraining };
 
-// A server as discovery lists it.
+// A server as listed by discovery.
 struct EndpointEntry {
   std::string uid;
   Endpoint endpoint;
@@ -105,8 +105,8 @@
   int kind = 0;
   int cell = 0;
   EndpointState state = EndpointState::kReady;
-  double concurrency = 1;
-  Micros boot_unix = 0;  // Unix time of its start in microseconds; 0: long ago
+  double concurrency = 1;  // nominal number of requests that it runs in parallel
+  Micros boot_unix = 0;    // Unix time of its start in microseconds; 0: long ago
 };
 
 struct EndpointList {
@@ -116,7 +116,7 @@
   std::vector<EndpointEntry> entries;
 };
 
-// Where the endpoint list comes from.
+// Source of the endpoint list.
 class EndpointSource {
  public:
   virtual void Watch() = 0;
--- a/src/downstream/listener.hpp
+++ b/src/downstream/listener.hpp
@@ -1,4 +1,5 @@
-// The clients' side over HTTP: takes connections and calls, gives final answers.
+// The downstream side over HTTP: accepts client connections, passes their requests to the dispatcher and
+// writes the final responses. Knows no server and retries nothing. Lives on the event loop.
 #ifndef DAPPLETILLER_DOWNSTREAM_LISTENER_HPP_
 #define DAPPLETILLER_DOWNSTREAM_LISTENER_HPP_
 
@@ -20,22 +21,22 @@
 
 struct ListenerOptions {
   Endpoint listen;
-  std::vector<std::string> classes;       // by their places in the settings
-  std::vector<Micros> patience;           // of a class: no client waits longer
-  std::vector<balancer::Effect> effects;  // of a class: which method and key go with it
-  std::size_t connection_slots = 0;       // connections that clients hold for calls, at most
-  // After connecting, a client's first request may take this long to come: some round trips, a pause of its
-  // own.
+  std::vector<std::string> classes;       // in the order of the settings
+  std::vector<Micros> request_timeout;    // by class: maximum time that a client waits
+  std::vector<balancer::Effect> effects;  // by class: determines the permitted method and key
+  std::size_t connection_slots = 0;       // maximum number of client connections with requests
+  // How long after connecting a client's first request may be on its way: some round trips and a pause of the
+  // client.
   Micros first_request_grace = 100'000;
-  // Of a class: the module's class that decides for it; empty: the same place. A class that came with a
-  // reload is decided as the module's class of the same effect with the nearest deadline.
-  std::vector<int> decided_as;
-  std::vector<std::string> tenants = {};  // by their places in the settings
-  // A client that takes nothing of its answer for this long is cut off; the second one holds once the kernel
-  // has all of a last answer, and is also the time for the client to read it.
-  Micros write_for = 10'000'000;
-  Micros linger_for = 1'000'000;
-  // For requests with long bodies; none: bodies of the usual size only.
+  // By class: index of the module's class that it is routed as; empty: the same index. A class added by a
+  // reload is routed as the module's class with the same effect and the closest timeout.
+  std::vector<int> routed_as;
+  std::vector<std::string> tenants = {};  // in the order of the settings
+  // A client that accepts no bytes of its response for this long is disconnected. `linger_for` applies once
+  // the kernel has all of a last response; it is also the time for the client to read it.
+  Micros write_timeout = 10'000'000;
+  Micros linger_timeout = 1'000'000;
+  // Memory for requests with long bodies; null: bodies of up to http::kMaxBodySize only.
   std::shared_ptr<BodyMemory> long_bodies = nullptr;
 };
 
@@ -46,50 +47,52 @@
   ~DownstreamListener();
 
   void Listen();  // throws std::system_error
-  // Serves on a listening TCP socket that the platform holds for every process of this proxy, instead of
-  // one of its own (the descriptor is taken over). Throws std::system_error if it is no such socket.
+  // Serves on a listening TCP socket that the platform holds for all processes of this proxy, instead of its
+  // own socket. Takes ownership of the descriptor. Throws std::system_error if it is not such a socket.
   void Inherit(int fd);
   bool inherited() const { return inherited_; }
   std::uint16_t port() const { return port_; }
-  // From now on every answer asks its client to leave; new connections are still served. Calls that come from
-  // now on are answered by `answer_by` (on the loop's clock): the process may be gone after it.
+  // From now on every response asks its client to close the connection; new connections are still served. New
+  // requests are answered by `answer_by` (on the event loop's clock), since the process may terminate
+  // afterwards.
   void Drain(Micros answer_by) {
     draining_ = true;
     answer_by_ = answer_by;
   }
-  // The operators' lame duck: `/up` says no, every answer asks its client to leave and idle connections go
-  // now; off again, all is as before unless a SIGTERM came meanwhile.
-  void Lameduck(bool on);
-  bool lameduck() const { return lameduck_; }
-  // No more connections are taken; those open are served on.
+  // Lame-duck mode: `/up` reports 503, every response asks its client to close the connection, and idle
+  // connections are closed. Switching it off restores normal service unless a SIGTERM has been received.
+  void SetLameDuck(bool on);
+  bool lame_duck() const { return lame_duck_; }
+  // Accepts no more connections; open ones are still served.
   void StopAccepting();
-  // No more connections; what is open ends with its answer, what is idle ends now. While connections wait in
-  // the kernel for which there is no room, the listener stays: to be called again until closed().
+  // Accepts no more connections; busy ones end with their response, idle ones now. While clients wait in the
+  // accept queue and no descriptor is available, the listener stays open: to be called again until closed().
   void Close();
   bool closed() const { return closed_; }
-  std::size_t connections() const { return conns_.size(); }
-  // Of the connections that clients may hold for calls; the surplus goes as soon as it is unused.
-  void Resize(std::size_t slots) { admission_.Resize(slots); }
-  // Classes from a reload: a new name is added, a known one takes its new patience, and one with another
-  // effect is decided as a new one from then on; calls that are open keep what they had. A class that is no
-  // longer named stays known, so that a late client is still served.
-  void Retune(const std::vector<std::string>& names, const std::vector<Micros>& patience,
-              const std::vector<balancer::Effect>& effects);
-  // The place of a tenant for what comes from now on: the one it has, or one that is free.
-  int NameTenant(const std::string& name);
-  // Its place is free again; -1: it had none. Requests that are open keep what was decided for them.
-  int ForgetTenant(const std::string& name);
+  std::size_t connections() const { return connections_.size(); }
+  // Sets the number of connection slots; excess connections are closed when they become idle.
+  void SetConnectionSlots(std::size_t slots) { admission_.Resize(slots); }
+  // Updates the classes after a reload: new names are added, known ones get their new timeout, and one with a
+  // changed effect is treated as a new class from then on. Open requests keep their class. A class that is no
+  // longer listed stays known, so that late clients are still served.
+  void UpdateClasses(const std::vector<std::string>& names, const std::vector<Micros>& request_timeout,
+                     const std::vector<balancer::Effect>& effects);
+  // Returns the index of a tenant, adding it if necessary.
+  int AddTenant(const std::string& name);
+  // Removes a tenant and returns its former index, which may be reused, or -1 if it is unknown. Open requests
+  // are not affected.
+  int RemoveTenant(const std::string& name);
 
  private:
-  class Conn;
-  using ConnMap = std::unordered_map<limits::ConnectionAdmission::Id, std::unique_ptr<Conn>>;
+  class Connection;
+  using ConnectionMap = std::unordered_map<limits::ConnectionAdmission::Id, std::unique_ptr<Connection>>;
 
   void OnReady(std::uint32_t events) override;
   void Accept();
-  bool Pending() const;
-  bool DropIfUnused(limits::ConnectionAdmission::Id id);
-  void Trim();
-  void Drop(Conn& conn);
+  bool HasWaitingClients() const;
+  bool CloseIfUnused(limits::ConnectionAdmission::Id id);
+  void CloseExcessIdle();
+  void Remove(Connection& connection);
   void Watch();
   void CloseIdle();
 
@@ -98,28 +101,28 @@
   RequestDispatcher& dispatcher_;
   DescriptorLimit& descriptors_;
   ListenerOptions options_;
-  std::unordered_map<std::string, int> class_of_;
-  std::unordered_map<std::string, int> tenant_of_;
-  int places_named_ = 0;                      // of tenants, ever
-  std::vector<int> free_places_;              // of tenants that were forgotten
-  std::size_t modules_classes_ = 0;           // the classes that the module was made with come first
-  std::unordered_set<std::string> open_ids_;  // of the calls that are open
-  std::vector<char> waste_;                   // where what nobody will read goes
+  std::unordered_map<std::string, int> class_by_name_;
+  std::unordered_map<std::string, int> tenant_by_name_;
+  int next_tenant_ = 0;             // next index that was never used
+  std::vector<int> free_tenants_;   // indexes of removed tenants
+  std::size_t module_classes_ = 0;  // number of classes that the module was created with; they come first
+  std::unordered_set<std::string> open_request_ids_;  // Request-Ids of open requests
+  std::vector<char> discard_buffer_;                  // for data that is discarded
   FileDescriptor listener_;
   EventLoop::WatchId token_ = 0;
-  Timer pause_;  // after accept failed for want of descriptors
+  Timer accept_retry_;  // retry after a failed accept
   std::uint16_t port_ = 0;
-  ConnMap conns_;
+  ConnectionMap connections_;
   limits::ConnectionAdmission admission_;
-  limits::ConnectionAdmission::Id ids_ = 0;
+  limits::ConnectionAdmission::Id last_id_ = 0;
   bool draining_ = false;
   Micros answer_by_ = 0;  // once draining
-  bool lameduck_ = false;
+  bool lame_duck_ = false;
   bool inherited_ = false;
   bool closed_ = false;
-  bool waiting_ = false;  // connections wait in the kernel
-  long ended_early_ = 0;  // since it was last told
-  Micros told_at_ = 0;
+  bool clients_waiting_ = false;  // clients are waiting in the accept queue
+  long closed_early_ = 0;         // since the last report
+  Micros reported_at_ = 0;
 };
 
 }  // namespace dappletiller
--- a/src/downstream/receive_times.cpp
+++ b/src/downstream/receive_times.cpp
@@ -10,7 +10,7 @@
 }
 
 void ReceiveTimes::Add(std::size_t bytes, std::size_t held, Micros now) {
-  if (reads_.size() < kMostReads) {
+  if (reads_.size() < kMaxReads) {
     reads_.push_back({bytes, now});
   } else {
     reads_.back().bytes += bytes;
--- a/src/downstream/receive_times.hpp
+++ b/src/downstream/receive_times.hpp
@@ -1,5 +1,5 @@
-// When the bytes of a connection were received, for the time of a request's last byte: a client's patience
-// runs from there, also where the request waits behind the answer to an earlier one.
+// Records when the bytes of a connection were received. A request's timeout runs from the time of its last
+// byte, even if the request is queued behind the response to an earlier one.
 #ifndef DAPPLETILLER_DOWNSTREAM_RECEIVE_TIMES_HPP_
 #define DAPPLETILLER_DOWNSTREAM_RECEIVE_TIMES_HPP_
 
@@ -10,21 +10,21 @@
 
 namespace dappletiller {
 
-// Knows no socket and no clock: it is told of each read, in order, and of each message that is taken.
+// Uses no socket and no clock: the owner reports each read, in order, and each message that it takes.
 class ReceiveTimes {
  public:
-  // Reads that are told apart at most. Beyond it, bytes count as received with the read before them, which is
-  // earlier than they were: memory stays bounded, and no request is granted more time than its client has.
-  static constexpr std::size_t kMostReads = 64;
+  // Maximum number of reads recorded separately. Further bytes count as received with the read before them,
+  // which is earlier than their true time, so no request gets more time than its client has.
+  static constexpr std::size_t kMaxReads = 64;
 
-  // The last byte of the first message was not here before `now`: all `held` bytes count as received then.
+  // All `held` bytes count as received at `now`: the last byte of the first message was not received earlier.
   void Restart(std::size_t held, Micros now);
-  // `bytes` more were received behind the message that is being answered, and `held` of all that came are
-  // kept: less than were received where a parser gives back the framing of chunks. The oldest go off the
-  // record then.
+  // Records `bytes` received behind the message that is being answered. `held` is the number of bytes that
+  // the parser keeps in total; it may be less than was received, as chunk framing is discarded. The oldest
+  // bytes are dropped then.
   void Add(std::size_t bytes, std::size_t held, Micros now);
-  // Takes the next `bytes` bytes off the record and returns when the last of them was received. At least as
-  // many bytes have to be on the record.
+  // Removes the next `bytes` bytes and returns when the last of them was received. At least as many bytes
+  // must be recorded.
   Micros Take(std::size_t bytes);
 
   std::size_t reads() const { return reads_.size(); }
--- a/src/proxy/console_commands.cpp
+++ b/src/proxy/console_commands.cpp
@@ -35,11 +35,11 @@
 }
 
 ConsoleReply ConsoleCommands::SetLameDuck(bool on) {
-  if (on != components_.listener.lameduck()) {
+  if (on != components_.listener.lame_duck()) {
     components_.log.Info("lame duck %s: %zu client connections", on ? "on" : "off",
                          components_.listener.connections());
   }
-  components_.listener.Lameduck(on);
+  components_.listener.SetLameDuck(on);
   return {200, on ? "lame duck" : "serving"};
 }
 
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -30,7 +30,7 @@
   options.classes = config.classes;
   options.tenants = config.tenants;
   for (const auto& request_class : config.settings.classes) {
-    options.patience.push_back(request_class.client_timeout);
+    options.request_timeout.push_back(request_class.client_timeout);
     options.effects.push_back(request_class.effect);
   }
   return options;
@@ -40,11 +40,11 @@
 
 DiscoveryOptions MakeDiscoveryOptions(const Config& config) {
   DiscoveryOptions options;
-  options.where = config.discovery;
+  options.address = config.discovery;
   options.host = config.discovery_text;
   options.names = config.names;
   options.version = config.known.version;
-  options.ask_within = config.settings.poll_interval;
+  options.poll_interval = config.settings.poll_interval;
   options.pushed = !config.settings.endpoints_on_request;
   options.seed = config.settings.seed;
   return options;
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -30,7 +30,7 @@
 
 void ReloadClasses(const Config& config, ProxyComponents* components) {
   const ListenerOptions options = MakeListenerOptions(config, nullptr);
-  components->listener.Retune(options.classes, options.patience, options.effects);
+  components->listener.UpdateClasses(options.classes, options.request_timeout, options.effects);
   if (components->feed) components->feed->applier.ReapplyClasses();
 }
 
@@ -39,9 +39,9 @@
   const bool needs_restart = settings_changed || !(config.listen == components->config.listen);
   const bool discovery_moves = !(config.discovery == components->config.discovery);
   components->descriptors.Resize(ConnectionLimit(config), ReservedForClients(config));
-  components->listener.Resize(ClientConnectionSlots(config));
+  components->listener.SetConnectionSlots(ClientConnectionSlots(config));
   components->upstream.SetLimits(MakeUpstreamLimits(config));
-  if (discovery_moves) components->discovery.Move(config.discovery, config.discovery_text);
+  if (discovery_moves) components->discovery.MoveTo(config.discovery, config.discovery_text);
   if (settings_changed) ReloadClasses(config, components);
   components->log.Important(
       "reload: done, discovery %s %s%s", discovery_moves ? "moves to" : "stays at",
--- a/src/proxy/settings_applier.cpp
+++ b/src/proxy/settings_applier.cpp
@@ -47,13 +47,13 @@
     LogUnreadable(entry, tenant.error().message);
     return;
   }
-  const int index = listener_.NameTenant(entry.name);
+  const int index = listener_.AddTenant(entry.name);
   if (index < 0) return;
   dispatcher_.SetTenant(index, true, {tenant->share, tenant->quota_per_second});
 }
 
 void SettingsApplier::RemoveTenant(const std::string& name) {
-  const int index = listener_.ForgetTenant(name);
+  const int index = listener_.RemoveTenant(name);
   if (index < 0) return;
   dispatcher_.SetTenant(index, false, {});
 }
@@ -66,7 +66,7 @@
     LogUnreadable(entry, value.error().message);
     return;
   }
-  listener_.Retune({entry.name}, {value->max_client_wait}, {ToModuleEffect(value->effect)});
+  listener_.UpdateClasses({entry.name}, {value->max_client_wait}, {ToModuleEffect(value->effect)});
 }
 
 void SettingsApplier::LogUnreadable(const config_feed::EffectiveEntry& entry, const std::string& why) {
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -185,7 +185,7 @@
   if (place.told != 0 && now > place.told + window) ++world_.after_told;
   // The pages' clock: a change counts as told 6 s after discovery had it and could be reached.
   Micros had = std::max(server.drained, world_.reachable[static_cast<std::size_t>(options_.region)]);
-  if (server.drained != 0 && now > had + limits::WatchTimes::kToldAfter + window) ++world_.after_had;
+  if (server.drained != 0 && now > had + RetrySchedule::kNotifiedAfter + window) ++world_.after_had;
   bool drains = server.drained != 0;
   Micros takes = !server.runs ? kDial : drains ? kTurnsAway : world_.work;
   AttemptOutcome end = !server.runs ? AttemptOutcome::kUnreachable
--- a/src/simulator_adapter/wire_codec.cpp
+++ b/src/simulator_adapter/wire_codec.cpp
@@ -14,42 +14,42 @@
 namespace {
 
 enum EventCode : std::uint8_t {
-  kMessage = 16,
+  kPeerMessage = 16,
   kArrival = 17,
-  kPeersKnown = 18,
-  kBorn = 19,
+  kEndpointList = 18,
+  kInstanceStarted = 19,
   kProbeResult = 20,
-  kStreaming = 21,
-  kWake = 22,
+  kStreamStarted = 21,
+  kTimerFired = 22,
   kClientLeft = 23,
-  kOn = 24,
-  kHalt = 25,
-  kVerdict = 26
+  kSelectInstance = 24,
+  kInstanceStopped = 25,
+  kAttemptEnded = 26
 };
 
 enum ActionCode : std::uint8_t {
-  kCallOut = 16,
-  kOverloadReply = 17,
+  kSend = 16,
+  kReject = 17,
   kFail = 18,
-  kAbandon = 19,
-  kWakeMe = 20,
-  kEmit = 24,
-  kKeepInformed = 26,
-  kListAll = 27,
-  kBy = 28
+  kCancel = 19,
+  kWakeAfter = 20,
+  kLog = 24,
+  kWatch = 26,
+  kFetchList = 27,
+  kFromInstance = 28
 };
 
 constexpr std::size_t kEntrySize = 21;
-// A whole file of settings takes some 0.9 kB a tenant while it is read (docs/data/change-cost-before.json):
-// 240 MB here, already more than a proxy is to take. More of them belong into the settings feed
-// (docs/feed.md).
-constexpr int kMostTenants = 262'144;
-constexpr std::uint64_t kLatest = std::uint64_t{1} << 62;  // times beyond this would overflow when added to
+// Parsing a settings file takes about 0.9 kB of memory per tenant (docs/data/change-cost-before.json), so
+// this limit is 240 MB, already more than a proxy may use. Larger numbers of tenants are for the
+// configuration feed (docs/feed.md).
+constexpr int kMaxTenants = 262'144;
+constexpr std::uint64_t kMaxTime = std::uint64_t{1} << 62;  // later times could overflow in additions
 
-// Reads little-endian fields off a view and never past its end.
+// Reads little-endian fields from a buffer; throws Error instead of reading past its end.
 class Reader {
  public:
-  explicit Reader(std::string_view bytes) : left_(bytes) {}
+  explicit Reader(std::string_view bytes) : remaining_(bytes) {}
 
   template <typename T>
   T Get(const char* field) {
@@ -70,21 +70,21 @@
 
   Micros GetTime(const char* field) {
     auto value = Get<std::uint64_t>(field);
-    if (value > kLatest) throw Error(std::string(field) + " is out of range");
+    if (value > kMaxTime) throw Error(std::string(field) + " is out of range");
     return static_cast<Micros>(value);
   }
 
   std::string_view Take(std::size_t n, const char* field) {
-    if (n > left_.size()) throw Error(std::string("data ends within ") + field);
-    std::string_view taken = left_.substr(0, n);
-    left_.remove_prefix(n);
+    if (n > remaining_.size()) throw Error(std::string("data ends within ") + field);
+    std::string_view taken = remaining_.substr(0, n);
+    remaining_.remove_prefix(n);
     return taken;
   }
 
-  std::size_t left() const { return left_.size(); }
+  std::size_t remaining() const { return remaining_.size(); }
 
  private:
-  std::string_view left_;
+  std::string_view remaining_;
 };
 
 template <typename T>
@@ -93,7 +93,7 @@
   for (std::size_t i = 0; i < sizeof(T); ++i) out->push_back(static_cast<char>(bits >> (8 * i)));
 }
 
-std::uint32_t Span(Micros span) {
+std::uint32_t EncodeSpan(Micros span) {
   return static_cast<std::uint32_t>(std::clamp<Micros>(span, 0, std::numeric_limits<std::int32_t>::max()));
 }
 
@@ -135,7 +135,7 @@
   update.kind = static_cast<EndpointListUpdate::Kind>(how);
   in.Get<std::uint64_t>("gen");
   auto n = in.Get<std::uint32_t>("items");
-  if (n > in.left() / kEntrySize) throw Error("PEERS_KNOWN counts more entries than the batch holds");
+  if (n > in.remaining() / kEntrySize) throw Error("PEERS_KNOWN counts more entries than the batch holds");
   update.entries.reserve(n);
   for (std::uint32_t i = 0; i < n; ++i) {
     ServerEntry e;
@@ -168,7 +168,7 @@
   return e;
 }
 
-Event DecodeVerdict(Reader& in) {
+Event DecodeAttemptEnded(Reader& in) {
   AttemptEnded e;
   e.id = in.Get<std::uint64_t>("ticket");
   e.attempt = in.Get<std::uint16_t>("n");
@@ -180,7 +180,7 @@
   return e;
 }
 
-Event DecodeStreaming(Reader& in) {
+Event DecodeStreamStarted(Reader& in) {
   StreamStarted e;
   e.id = in.Get<std::uint64_t>("ticket");
   in.Get<std::uint32_t>("delaySeen");
@@ -189,49 +189,50 @@
   return e;
 }
 
-std::variant<Born, Halted, Ignored, Event> DecodeRecord(std::uint8_t code, Reader& in) {
+std::variant<InstanceStarted, InstanceStopped, IgnoredEvent, Event> DecodeRecord(std::uint8_t code,
+                                                                                 Reader& in) {
   switch (code) {
-    case kBorn: {
+    case kInstanceStarted: {
       auto seed = in.Get<std::uint64_t>("nonce64");
       auto n = in.Get<std::uint32_t>("bootInfo");
-      return Born{ParseSettings(in.Take(n, "bootInfo"), seed)};
+      return InstanceStarted{ParseSettings(in.Take(n, "bootInfo"), seed)};
     }
-    case kHalt:
-      return Halted{};
-    case kPeersKnown:
+    case kInstanceStopped:
+      return InstanceStopped{};
+    case kEndpointList:
       return DecodeList(in);
     case kArrival:
       return DecodeArrival(in);
-    case kVerdict:
-      return DecodeVerdict(in);
-    case kStreaming:
-      return DecodeStreaming(in);
+    case kAttemptEnded:
+      return DecodeAttemptEnded(in);
+    case kStreamStarted:
+      return DecodeStreamStarted(in);
     case kClientLeft:
       return Event{ClientDisconnected{in.Get<std::uint64_t>("ticket")}};
-    case kWake:
+    case kTimerFired:
       in.Get<std::uint64_t>("ctx");
       return Event{TimerFired{}};
-    case kMessage: {
+    case kPeerMessage: {
       in.Get<std::uint16_t>("who");
       auto n = in.Get<std::uint16_t>("msg");
       in.Take(n, "msg");
-      return Ignored{};
+      return IgnoredEvent{};
     }
     case kProbeResult:
       in.Get<std::uint32_t>("host");
       DecodeOutcome(in.Get<std::uint16_t>("disposition"));
       in.Get<std::uint32_t>("delaySeen");
       DecodeReport(in);
-      return Ignored{};
+      return IgnoredEvent{};
     default:
       throw Error("unknown event code " + std::to_string(code));
   }
 }
 
-// The start-up settings by path.
-class Paths {
+// Settings by path.
+class SettingsText {
  public:
-  explicit Paths(std::string_view text) {
+  explicit SettingsText(std::string_view text) {
     while (!text.empty()) {
       std::size_t end = std::min(text.find('\n'), text.size());
       std::string_view line = text.substr(0, end);
@@ -256,8 +257,8 @@
     return *found;
   }
 
-  double Number(const std::string& path, std::optional<double> otherwise = std::nullopt) const {
-    if (otherwise && !Find(path)) return *otherwise;
+  double Number(const std::string& path, std::optional<double> default_value = std::nullopt) const {
+    if (default_value && !Find(path)) return *default_value;
     std::string_view text = Text(path);
     double value = 0;
     auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -267,20 +268,20 @@
     return value;
   }
 
-  Micros Time(const std::string& path, std::optional<double> otherwise = std::nullopt) const {
-    double value = Number(path, otherwise);
+  Micros Time(const std::string& path, std::optional<double> default_value = std::nullopt) const {
+    double value = Number(path, default_value);
     if (value > 1e15) throw Error("setting " + path + " is out of range");
     return static_cast<Micros>(value);
   }
 
-  int Count(const std::string& path, int most, std::optional<double> otherwise = std::nullopt) const {
-    double value = Number(path, otherwise);
-    if (value > most || value != std::floor(value)) throw Error("setting " + path + " is out of range");
+  int Count(const std::string& path, int max, std::optional<double> default_value = std::nullopt) const {
+    double value = Number(path, default_value);
+    if (value > max || value != std::floor(value)) throw Error("setting " + path + " is out of range");
     return static_cast<int>(value);
   }
 
-  bool Flag(const std::string& path, std::optional<bool> otherwise = std::nullopt) const {
-    if (otherwise && !Find(path)) return *otherwise;
+  bool Flag(const std::string& path, std::optional<bool> default_value = std::nullopt) const {
+    if (default_value && !Find(path)) return *default_value;
     std::string_view text = Text(path);
     if (text != "true" && text != "false") throw Error("setting " + path + " is neither true nor false");
     return text == "true";
@@ -290,21 +291,21 @@
   std::map<std::string, std::string_view> values_;
 };
 
-ClassSettings ParseClass(const Paths& paths, const std::string& at) {
+ClassSettings ParseClass(const SettingsText& settings, const std::string& at) {
   ClassSettings c;
-  c.latency_objective = paths.Time(at + "aim");
-  c.objective_per_work = paths.Number(at + "aimStretch", 0);
-  c.client_timeout = paths.Time(at + "giveUp");
-  c.weight = paths.Number(at + "worth", 1);
-  c.late_weight = paths.Number(at + "lateWorth", 0);
-  c.streaming = paths.Flag(at + "stream", false);
-  std::string_view effect = paths.Text(at + "effect");
+  c.latency_objective = settings.Time(at + "aim");
+  c.objective_per_work = settings.Number(at + "aimStretch", 0);
+  c.client_timeout = settings.Time(at + "giveUp");
+  c.weight = settings.Number(at + "worth", 1);
+  c.late_weight = settings.Number(at + "lateWorth", 0);
+  c.streaming = settings.Flag(at + "stream", false);
+  std::string_view effect = settings.Text(at + "effect");
   if (effect == "free") {
     c.effect = Effect::kSafe;
   } else if (effect == "guarded") {
     c.effect = Effect::kKeyed;
-    c.key_lifetime = paths.Time(at + "window");
-    std::string_view group = paths.Text(at + "group");
+    c.key_lifetime = settings.Time(at + "window");
+    std::string_view group = settings.Text(at + "group");
     if (group == "all") {
       c.key_scope = KeyScope::kAllServers;
     } else if (group == "zone") {
@@ -326,7 +327,7 @@
   return text.empty() ? 0 : 1 + static_cast<int>(std::count(text.begin(), text.end(), ','));
 }
 
-int PlaceOf(std::string_view list, std::string_view name) {
+int IndexOf(std::string_view list, std::string_view name) {
   for (int i = 0; !list.empty(); ++i) {
     std::size_t end = std::min(list.find(','), list.size());
     if (list.substr(0, end) == name) return i;
@@ -339,13 +340,13 @@
 
 Header DecodeHeader(std::string_view bytes) {
   Reader in(bytes);
-  // The batch number comes last, but errors in the clock should name it.
+  // The batch number is last, but an error in the clock should include it.
   Header header;
   auto clock = in.Get<std::uint64_t>("the header");
   header.length = in.Get<std::uint32_t>("the header");
   header.records = in.Get<std::uint32_t>("the header");
   header.batch = in.Get<std::uint32_t>("the header");
-  if (clock > kLatest) throw Error("batch " + std::to_string(header.batch) + ": the clock is out of range");
+  if (clock > kMaxTime) throw Error("batch " + std::to_string(header.batch) + ": the clock is out of range");
   header.clock = static_cast<Micros>(clock);
   return header;
 }
@@ -357,102 +358,102 @@
   int instance = -1;
   for (std::uint32_t i = 0; i < header.records; ++i) {
     auto code = in.Get<std::uint8_t>("a record's code");
-    if (code == kOn) {
+    if (code == kSelectInstance) {
       instance = in.Get<std::uint16_t>("ON");
       continue;
     }
     if (instance < 0) throw Error("an event comes before any ON");
     records.push_back({static_cast<std::uint16_t>(instance), DecodeRecord(code, in)});
   }
-  if (in.left() > 0) throw Error("the batch goes on after its last record");
+  if (in.remaining() > 0) throw Error("the batch goes on after its last record");
   return records;
 }
 
 Settings ParseSettings(std::string_view text, std::uint64_t seed) {
-  Paths paths(text);
+  SettingsText settings(text);
   Settings s;
   s.seed = seed;
-  s.proxies = paths.Count("balancers", 65536);
+  s.proxies = settings.Count("balancers", 65536);
   if (s.proxies < 1) throw Error("setting balancers is out of range");
-  s.zones = ListLength(paths.Text("zones"));
-  s.zone = paths.Count("zone", 255);
+  s.zones = ListLength(settings.Text("zones"));
+  s.zone = settings.Count("zone", 255);
   if (s.zone >= s.zones) throw Error("setting zone is out of range");
-  int classes = paths.Count("classes.count", 65536);
+  int classes = settings.Count("classes.count", 65536);
   if (classes < 1) throw Error("setting classes.count is out of range");
   for (int i = 0; i < classes; ++i) {
-    s.classes.push_back(ParseClass(paths, "classes." + std::to_string(i) + "."));
+    s.classes.push_back(ParseClass(settings, "classes." + std::to_string(i) + "."));
     if (s.classes.back().latency_objective <= 0 || s.classes.back().client_timeout <= 0) {
       throw Error("class " + std::to_string(i) + " has no aim or no giveUp");
     }
   }
-  int tenants = paths.Count("tenants.count", kMostTenants, 0);
+  int tenants = settings.Count("tenants.count", kMaxTenants, 0);
   for (int i = 0; i < tenants; ++i) {
     std::string at = "tenants." + std::to_string(i) + ".";
-    s.tenants.push_back({paths.Number(at + "portion"), paths.Number(at + "quotaRps")});
+    s.tenants.push_back({settings.Number(at + "portion"), settings.Number(at + "quotaRps")});
   }
-  s.over_quota_weight = paths.Number("overShareWorth", 1);
-  std::string_view counted = paths.Find("countedBy").value_or("request");
+  s.over_quota_weight = settings.Number("overShareWorth", 1);
+  std::string_view counted = settings.Find("countedBy").value_or("request");
   if (counted != "work" && counted != "request") throw Error("setting countedBy is unknown");
   s.weight_per_work = counted == "work";
-  std::string_view mode = paths.Text("registryMode");
+  std::string_view mode = settings.Text("registryMode");
   if (mode != "ask" && mode != "push") throw Error("setting registryMode is unknown");
   s.endpoints_on_request = mode == "ask";
   s.poll_interval =
-      paths.Time("invariants.askEvery", s.endpoints_on_request ? std::nullopt : std::optional<double>(0));
-  s.clock_step = paths.Time("tick");
-  s.initial_capacity = paths.Number("invariants.startCapacity");
-  s.warmup_time = paths.Time("invariants.cold");
-  s.overload_factor = paths.Number("invariants.tipMultiple");
-  s.overload_window = paths.Time("invariants.fall");
-  s.max_attempts = paths.Count("limits.maxAttempts", 65535);
+      settings.Time("invariants.askEvery", s.endpoints_on_request ? std::nullopt : std::optional<double>(0));
+  s.clock_step = settings.Time("tick");
+  s.initial_capacity = settings.Number("invariants.startCapacity");
+  s.warmup_time = settings.Time("invariants.cold");
+  s.overload_factor = settings.Number("invariants.tipMultiple");
+  s.overload_window = settings.Time("invariants.fall");
+  s.max_attempts = settings.Count("limits.maxAttempts", 65535);
   if (s.max_attempts < 1) throw Error("setting limits.maxAttempts is out of range");
-  s.may_cancel = paths.Flag("limits.mayCancel");
-  s.send_retry_after = paths.Flag("limits.retryAfter", false);
-  s.max_retry_after = paths.Time("limits.maxRetryAfter", 0);
-  s.cross_zone_cost = paths.Number("costs.crossZone", 0);
-  if (paths.Find("report.source").value_or("off") == "inline") {
-    std::string_view columns = paths.Text("report.columns");
-    s.report_in_flight = PlaceOf(columns, "concurrent");
-    s.report_queue = PlaceOf(columns, "depth");
-    s.report_service_ms = PlaceOf(columns, "mean_ms");
+  s.may_cancel = settings.Flag("limits.mayCancel");
+  s.send_retry_after = settings.Flag("limits.retryAfter", false);
+  s.max_retry_after = settings.Time("limits.maxRetryAfter", 0);
+  s.cross_zone_cost = settings.Number("costs.crossZone", 0);
+  if (settings.Find("report.source").value_or("off") == "inline") {
+    std::string_view columns = settings.Text("report.columns");
+    s.report_in_flight = IndexOf(columns, "concurrent");
+    s.report_queue = IndexOf(columns, "depth");
+    s.report_service_ms = IndexOf(columns, "mean_ms");
   }
   return s;
 }
 
 void Reply::Add(std::uint16_t instance, const Action& action) {
   if (instance_ != instance) {
-    Put<std::uint8_t>(&body_, kBy);
+    Put<std::uint8_t>(&body_, kFromInstance);
     Put<std::uint16_t>(&body_, instance);
     instance_ = instance;
   }
   if (const auto* send = std::get_if<Send>(&action)) {
-    Put<std::uint8_t>(&body_, kCallOut);
+    Put<std::uint8_t>(&body_, kSend);
     Put<std::uint64_t>(&body_, send->id);
-    Put<std::uint32_t>(&body_, Span(send->timeout));
+    Put<std::uint32_t>(&body_, EncodeSpan(send->timeout));
     Put<std::uint32_t>(&body_, send->server);
   } else if (const auto* reject = std::get_if<Reject>(&action)) {
-    Put<std::uint8_t>(&body_, kOverloadReply);
+    Put<std::uint8_t>(&body_, kReject);
     Put<std::uint64_t>(&body_, reject->id);
-    Put<std::uint32_t>(&body_, Span(reject->retry_after));
+    Put<std::uint32_t>(&body_, EncodeSpan(reject->retry_after));
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
     Put<std::uint8_t>(&body_, kFail);
     Put<std::uint64_t>(&body_, fail->id);
   } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-    Put<std::uint8_t>(&body_, kAbandon);
+    Put<std::uint8_t>(&body_, kCancel);
     Put<std::uint64_t>(&body_, cancel->id);
     Put<std::uint16_t>(&body_, static_cast<std::uint16_t>(cancel->attempt));
   } else if (const auto* wake = std::get_if<WakeAfter>(&action)) {
-    Put<std::uint8_t>(&body_, kWakeMe);
-    Put<std::uint32_t>(&body_, Span(wake->delay));
+    Put<std::uint8_t>(&body_, kWakeAfter);
+    Put<std::uint32_t>(&body_, EncodeSpan(wake->delay));
     Put<std::uint64_t>(&body_, 0);
   } else if (std::holds_alternative<Watch>(action)) {
-    Put<std::uint8_t>(&body_, kKeepInformed);
+    Put<std::uint8_t>(&body_, kWatch);
     Put<std::uint8_t>(&body_, 1);
   } else if (std::holds_alternative<FetchList>(action)) {
-    Put<std::uint8_t>(&body_, kListAll);
+    Put<std::uint8_t>(&body_, kFetchList);
   } else if (const auto* log = std::get_if<Log>(&action)) {
     std::string_view text = std::string_view(log->text).substr(0, 65535);
-    Put<std::uint8_t>(&body_, kEmit);
+    Put<std::uint8_t>(&body_, kLog);
     Put<std::uint16_t>(&body_, static_cast<std::uint16_t>(text.size()));
     body_.append(text);
   }
--- a/src/simulator_adapter/wire_codec.hpp
+++ b/src/simulator_adapter/wire_codec.hpp
@@ -1,4 +1,5 @@
-// Codec for the bench's wire: bytes to events, actions to bytes. It decides nothing.
+// Codec of the simulator's wire protocol: decodes bytes to events and encodes actions to bytes. Also parses
+// the settings, which the proxy receives in the same form. Decides nothing.
 #ifndef DAPPLETILLER_SIMULATOR_ADAPTER_WIRE_CODEC_HPP_
 #define DAPPLETILLER_SIMULATOR_ADAPTER_WIRE_CODEC_HPP_
 
@@ -15,7 +16,7 @@
 
 constexpr std::size_t kHeaderSize = 20;
 
-// What is wrong with the input, in one plain line.
+// Malformed input; what() is a one-line description.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -28,26 +29,27 @@
   std::uint32_t batch = 0;
 };
 
-struct Born {  // the instance begins empty with these settings
+struct InstanceStarted {  // a new instance with these settings
   Settings settings;
 };
-struct Halted {};   // the instance was killed
-struct Ignored {};  // an event the library has no use for (a peer's message, a probe's result)
+struct InstanceStopped {};  // the instance was terminated
+struct IgnoredEvent {};     // an event that the module does not use: a peer's message, the result of a probe
 
 struct Record {
   std::uint16_t instance = 0;
-  std::variant<Born, Halted, Ignored, Event> what;
+  std::variant<InstanceStarted, InstanceStopped, IgnoredEvent, Event> what;
 };
 
 Header DecodeHeader(std::string_view bytes);
 
-// Decodes the body that follows a header. Throws Error on anything malformed.
+// Decodes the body of a batch. Throws Error if it is malformed.
 std::vector<Record> DecodeBody(const Header& header, std::string_view body);
 
-// Settings from path=value lines. Unknown paths are skipped; missing or unparsable required ones throw Error.
+// Parses settings from path=value lines. Unknown paths are ignored. Throws Error if a required setting is
+// missing or any is invalid.
 Settings ParseSettings(std::string_view text, std::uint64_t seed);
 
-// Collects a batch's actions, in order, and turns them into a reply.
+// Encodes the actions of a batch, in order, into a reply.
 class Reply {
  public:
   void Add(std::uint16_t instance, const Action& action);
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -11,48 +11,47 @@
 namespace dappletiller {
 namespace {
 
-// Part of the workers' idle time after which we close an unused connection ourselves. Guards against a
-// request that crosses the worker's own close: it would end as a reset and count as one that may have run.
-constexpr int kIdlePartNumerator = 3;
-constexpr int kIdlePartDenominator = 5;
-
-constexpr Micros kFadeEvery = 10'000'000;
-constexpr int kLooks = 8;  // idle connections of a worker that are looked at
-// A worker that has sent more than one answer to a request may do so again, some milliseconds late: for a
-// while its connections rest this long before they are used again, so that what belongs to nobody has
-// arrived.
-constexpr Micros kWaryFor = 60'000'000;
-constexpr Micros kWaryRest = 50'000;
-
-AttemptOutcome Judge(const http::Message& answer) {
-  if (answer.status() == 200) return AttemptOutcome::kAnswered;
-  bool refused = answer.status() == 503 || answer.status() == 504;
-  if (refused && answer.Find("Not-Started") == "1") return AttemptOutcome::kRejected;
+// Fraction of the servers' idle timeout after which the proxy closes an idle connection itself. A request
+// that crosses the server's close would be reset and count as one that may have run.
+constexpr int kIdleTimeoutNumerator = 3;
+constexpr int kIdleTimeoutDenominator = 5;
+
+constexpr Micros kDecayInterval = 10'000'000;
+constexpr int kMaxIdleInspected = 8;  // idle connections inspected for one attempt
+// A server that has sent more than one response to a request may do so again, some milliseconds later. For a
+// while its connections are reused only after this idle time, so that extra data has arrived by then.
+constexpr Micros kExtraDataCaution = 60'000'000;
+constexpr Micros kExtraDataIdleTime = 50'000;
+
+AttemptOutcome OutcomeOf(const http::Message& response) {
+  if (response.status() == 200) return AttemptOutcome::kAnswered;
+  bool not_run = response.status() == 503 || response.status() == 504;
+  if (not_run && response.Find("Not-Started") == "1") return AttemptOutcome::kRejected;
   return AttemptOutcome::kError;
 }
 
 }  // namespace
 
 // One connection.
-class UpstreamPool::Link final : public StreamSocket::Callbacks {
+class UpstreamPool::Connection final : public StreamSocket::Callbacks {
  public:
-  Link(UpstreamPool& links, ServerId worker, const Endpoint& endpoint)
-      : worker(worker),
+  Connection(UpstreamPool& pool, ServerId server, const Endpoint& endpoint)
+      : server(server),
         endpoint(endpoint),
-        timer(links.loop_),
-        socket(links.loop_, *this),
-        links_(links),
-        parser_(http::Parser::Kind::kResponse, http::kMaxBodySize, links.long_bodies_) {}
+        timer(pool.loop_),
+        socket(pool.loop_, *this),
+        pool_(pool),
+        parser_(http::Parser::Kind::kResponse, http::kMaxBodySize, pool.long_bodies_) {}
 
   void Send(const Attempt& attempt) {
     key = attempt.key;
     busy = true;
     written_ = false;
-    crossed_ = false;
-    // The payload is ours: this is the only protocol whose calls reach these links.
+    response_was_early_ = false;
+    // The payload is an HTTP message: the pool serves no other protocol.
     request_ = std::static_pointer_cast<const http::Message>(attempt.payload);
-    wait_until_ = links_.loop_.Now() + attempt.timeout;
-    if (!up) return;
+    deadline_ = pool_.loop_.Now() + attempt.timeout;
+    if (!connected) return;
     Write();
     socket.Flush();
   }
@@ -60,88 +59,89 @@
   std::span<char> ReceiveBuffer() override { return parser_.ReceiveBuffer(); }
 
   void OnConnected() override {
-    up = true;
+    connected = true;
     timer.Clear();
     Write();
   }
-  bool MayWrite() override { return links_.dispatcher_.MayWrite(key); }
+  bool MayWrite() override { return pool_.dispatcher_.MayWrite(key); }
   void OnFlushed() override { written_ = true; }
 
   void OnReceived(std::size_t n) override {
-    if (busy && !parser_.begun()) crossed_ = socket.UnacknowledgedBytes() > 0;
+    if (busy && !parser_.begun()) response_was_early_ = socket.UnacknowledgedBytes() > 0;
     parser_.Commit(n);
-    Look();
+    ProcessInput();
   }
 
   void OnClosed(StreamEnd how) override {
     if (how == StreamEnd::kOrderly) parser_.OnStreamEnd();
-    if (busy && parser_.done()) return Look();
-    if (!busy) return links_.DropIdle(*this);
-    if (written_ && !parser_.begun()) links_.NoteRest(rest, false);
-    // What was never written whole can't have run.
-    links_.Finish(*this, written_ ? AttemptOutcome::kReset : AttemptOutcome::kUnreachable, nullptr);
+    if (busy && parser_.done()) return ProcessInput();
+    if (!busy) return pool_.CloseIdle(*this);
+    if (written_ && !parser_.begun()) pool_.RecordReuse(idle_time, false);
+    // A request that was not completely written cannot have run.
+    pool_.Finish(*this, written_ ? AttemptOutcome::kReset : AttemptOutcome::kUnreachable, nullptr);
   }
 
   bool reusable() const { return reusable_ && socket.open(); }
   bool written() const { return written_; }
 
-  ServerId worker;
+  ServerId server;
   Endpoint endpoint;
   AttemptKey key;
   bool busy = false;
-  bool up = false;  // connected: bytes may have been sent
-  Timer timer;      // dialling, or idle
+  bool connected = false;  // bytes may have been sent
+  Timer timer;             // connect or idle timeout
   StreamSocket socket;
-  LinkList::iterator place;  // while idle
-  Micros parked_at = 0;
-  Micros rest = -1;  // before the attempt at hand; none on a new connection
+  ConnectionList::iterator position;  // while idle
+  Micros idle_since = 0;
+  Micros idle_time = -1;  // before the current attempt; -1 on a new connection
 
  private:
-  // Once the connection is up, not before: guards against telling more time than the client still has, by as
-  // much as the dialling took.
+  // Called once the connection is established: the request states the time left, which the connecting has
+  // reduced.
   void Write() {
-    http::WriteRequest(request_, wait_until_ - links_.loop_.Now(), &socket.output());
+    http::WriteRequest(request_, deadline_ - pool_.loop_.Now(), &socket.output());
     request_ = nullptr;
   }
 
-  void Look() {
-    if (!busy) {  // bytes that nobody asked for: the next answer could be mistaken
-      links_.NoteSurplus(worker);
+  void ProcessInput() {
+    if (!busy) {  // unsolicited data could be mistaken for the next response
+      pool_.RecordExtraData(server);
       socket.Close();
-      return links_.DropIdle(*this);
+      return pool_.CloseIdle(*this);
     }
     if (parser_.bad()) {
       socket.Close();
-      return links_.Finish(*this, written_ ? AttemptOutcome::kReset : AttemptOutcome::kUnreachable, nullptr);
+      return pool_.Finish(*this, written_ ? AttemptOutcome::kReset : AttemptOutcome::kUnreachable, nullptr);
     }
     if (!parser_.done()) return;
-    http::MessageRef answer = parser_.TakeMessage();
-    // An answer before the request was written whole leaves a connection with half a request on it.
-    reusable_ = answer->keep_alive() && written_ && !parser_.begun();
-    if (parser_.begun()) links_.NoteSurplus(worker);
-    AttemptOutcome end = Judge(*answer);
-    // The request may run there, so it is not sent elsewhere for this: its own answer follows, or is here.
-    if (crossed_ && written_ && end == AttemptOutcome::kAnswered) {
-      links_.NoteSurplus(worker);
-      crossed_ = false;
-      if (socket.open()) return Look();
+    http::MessageRef response = parser_.TakeMessage();
+    // After a response that precedes the end of the request, part of the request is still on the connection.
+    reusable_ = response->keep_alive() && written_ && !parser_.begun();
+    if (parser_.begun()) pool_.RecordExtraData(server);
+    AttemptOutcome end = OutcomeOf(*response);
+    // The response belongs to an earlier request. This one may run, so it is not retried; its response
+    // follows or has been received.
+    if (response_was_early_ && written_ && end == AttemptOutcome::kAnswered) {
+      pool_.RecordExtraData(server);
+      response_was_early_ = false;
+      if (socket.open()) return ProcessInput();
       end = AttemptOutcome::kReset;
     }
-    // A worker begins a request once its last byte has arrived. Guards against serving what was made for an
-    // earlier one: before that byte only a refusal can be meant for this.
+    // A server begins a request after its last byte. Before that, any response but a rejection belongs to an
+    // earlier request and must not be forwarded.
     if (!written_ && end != AttemptOutcome::kRejected) end = AttemptOutcome::kUnreachable;
-    links_.NoteRest(rest, true);
-    links_.Finish(*this, end, std::move(answer));
+    pool_.RecordReuse(idle_time, true);
+    pool_.Finish(*this, end, std::move(response));
   }
 
-  UpstreamPool& links_;
+  UpstreamPool& pool_;
   http::Parser parser_;
-  http::MessageRef request_;  // until it is in the channel's hands
-  Micros wait_until_ = 0;
+  http::MessageRef request_;  // until it is written
+  Micros deadline_ = 0;
   bool written_ = false;
-  // The answer at hand began before the worker's kernel had all of the request: it was made for an earlier
-  // one, and the client would get what belongs to somebody else.
-  bool crossed_ = false;
+  // The current response began before the server's kernel had the whole request, so it belongs to an earlier
+  // request, possibly of another client.
+  bool response_was_early_ = false;
   bool reusable_ = false;
 };
 
@@ -154,28 +154,28 @@
       descriptors_(descriptors),
       limits_(limits),
       long_bodies_(std::move(long_bodies)),
-      fade_(loop) {
-  descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, [this] { return DropOneIdle(); });
+      decay_timer_(loop) {
+  descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, [this] { return CloseOneIdle(); });
 }
 
 UpstreamPool::~UpstreamPool() { descriptors_.SetCloseUnused(DescriptorLimit::Side::kUpstream, nullptr); }
 
-void UpstreamPool::SetEndpoint(ServerId worker, const Endpoint& endpoint) {
-  Pool& pool = pools_[worker];
-  // What is called off here may be sent again at once, and by then to the new address.
-  if (!(std::exchange(pool.endpoint, endpoint) == endpoint)) StopUsing(worker);
+void UpstreamPool::SetEndpoint(ServerId server, const Endpoint& endpoint) {
+  Pool& pool = pools_[server];
+  // Attempts ended here may be retried immediately, so the new address is set first.
+  if (!(std::exchange(pool.endpoint, endpoint) == endpoint)) StopUsing(server);
 }
 
-void UpstreamPool::StopUsing(ServerId worker) {
-  auto it = pools_.find(worker);
+void UpstreamPool::StopUsing(ServerId server) {
+  auto it = pools_.find(server);
   if (it == pools_.end()) return;
-  while (!it->second.idle.empty()) DropIdle(*it->second.idle.back());
-  // Guards against a connection that comes up long after the drain was told, and would only then send.
-  std::vector<AttemptKey> dialling;
-  for (const auto& [key, link] : busy_) {
-    if (link->worker == worker && !link->up) dialling.push_back(key);
+  while (!it->second.idle.empty()) CloseIdle(*it->second.idle.back());
+  // A connection that is established long after the drain must not be used to send.
+  std::vector<AttemptKey> connecting;
+  for (const auto& [key, connection] : busy_) {
+    if (connection->server == server && !connection->connected) connecting.push_back(key);
   }
-  for (const AttemptKey& key : dialling) {
+  for (const AttemptKey& key : connecting) {
     auto found = busy_.find(key);
     if (found == busy_.end()) continue;
     found->second->socket.Close();
@@ -183,97 +183,97 @@
   }
 }
 
-// What is still out there goes on; its connection finds no pool to return to.
-void UpstreamPool::Remove(ServerId worker) {
-  StopUsing(worker);
-  pools_.erase(worker);
+// Attempts in flight continue; their connections are closed afterwards, since the pool is gone.
+void UpstreamPool::Remove(ServerId server) {
+  StopUsing(server);
+  pools_.erase(server);
 }
 
 void UpstreamPool::Start(const Attempt& attempt) {
   auto it = pools_.find(attempt.server);
   if (it == pools_.end()) return dispatcher_.OnAttemptEnded(attempt.key, AttemptOutcome::kNotSent, nullptr);
-  std::unique_ptr<Link> link = TakeIdle(it->second);
-  if (link == nullptr) {
-    if (!descriptors_.MakeRoom(DescriptorLimit::Side::kUpstream)) {
-      log_.Info("worker: all %zu connections in use, a call is not sent", descriptors_.limit());
+  std::unique_ptr<Connection> connection = TakeIdle(it->second);
+  if (connection == nullptr) {
+    if (!descriptors_.EnsureAvailable(DescriptorLimit::Side::kUpstream)) {
+      log_.Info("upstream: all %zu connections in use; an attempt was not sent", descriptors_.limit());
       return dispatcher_.OnAttemptEnded(attempt.key, AttemptOutcome::kNotSent, nullptr);
     }
-    link = std::make_unique<Link>(*this, attempt.server, it->second.endpoint);
-    if (!link->socket.Connect(it->second.endpoint)) {
+    connection = std::make_unique<Connection>(*this, attempt.server, it->second.endpoint);
+    if (!connection->socket.Connect(it->second.endpoint)) {
       return dispatcher_.OnAttemptEnded(attempt.key, AttemptOutcome::kUnreachable, nullptr);
     }
     ++count_;
-    ++dispatcher_.counters().dialled;
+    ++dispatcher_.counters().connections_opened;
     descriptors_.Acquire();
-    Link* dialled = link.get();
-    link->timer.Set(limits_.dial, [this, dialled] {
-      dialled->socket.Close();
-      Finish(*dialled, AttemptOutcome::kUnreachable, nullptr);
+    Connection* connecting = connection.get();
+    connection->timer.Set(limits_.connect_timeout, [this, connecting] {
+      connecting->socket.Close();
+      Finish(*connecting, AttemptOutcome::kUnreachable, nullptr);
     });
   }
-  Link& started = *link;
-  busy_[attempt.key] = std::move(link);
+  Connection& started = *connection;
+  busy_[attempt.key] = std::move(connection);
   started.Send(attempt);
 }
 
-// Of the idle connections that still stand the one whose rest broke the fewest requests so far, and of equals
-// the most recently used. Guards against requests that cross a worker's close, be it right after its answer
-// or after long.
-std::unique_ptr<UpstreamPool::Link> UpstreamPool::TakeIdle(Pool& pool) {
+// Returns the open idle connection whose idle time has the lowest failure rate, the most recently used among
+// equals. Avoids requests that cross a server's close, be it right after its response or after a long idle
+// time.
+std::unique_ptr<UpstreamPool::Connection> UpstreamPool::TakeIdle(Pool& pool) {
   Micros now = loop_.Now();
-  // The most recently used lie last.
+  // The most recently used are last.
   auto end = pool.idle.end();
-  while (now < pool.wary_until && end != pool.idle.begin() &&
-         now - (*std::prev(end))->parked_at < kWaryRest) {
+  while (now < pool.cautious_until && end != pool.idle.begin() &&
+         now - (*std::prev(end))->idle_since < kExtraDataIdleTime) {
     --end;
   }
   while (end != pool.idle.begin()) {
-    auto taken = std::prev(end);
-    double least = rests_.FailureRate(now - (*taken)->parked_at);
-    int looks = kLooks;
-    for (auto it = taken; least > 0 && it != pool.idle.begin() && looks > 0; --looks) {
-      double risk = rests_.FailureRate(now - (*--it)->parked_at);
-      if (risk >= least) continue;
-      least = risk;
-      taken = it;
+    auto chosen = std::prev(end);
+    double lowest = idle_reuse_.FailureRate(now - (*chosen)->idle_since);
+    int remaining = kMaxIdleInspected;
+    for (auto it = chosen; lowest > 0 && it != pool.idle.begin() && remaining > 0; --remaining) {
+      double rate = idle_reuse_.FailureRate(now - (*--it)->idle_since);
+      if (rate >= lowest) continue;
+      lowest = rate;
+      chosen = it;
     }
-    std::unique_ptr<Link> link = std::move(*taken);
-    pool.idle.erase(taken);
-    link->timer.Clear();
-    link->rest = now - link->parked_at;
-    // Guards against writing into a connection whose end is known to the kernel but not yet to us, or that a
-    // worker has most likely left by now without our being told.
-    if (!link->socket.IsStale() && rests_.IsReusable(link->rest)) return link;
-    Discard(std::move(link));
+    std::unique_ptr<Connection> connection = std::move(*chosen);
+    pool.idle.erase(chosen);
+    connection->timer.Clear();
+    connection->idle_time = now - connection->idle_since;
+    // Skips connections that the kernel knows to be closed, or that the server has probably closed without
+    // notice.
+    if (!connection->socket.IsStale() && idle_reuse_.IsReusable(connection->idle_time)) return connection;
+    Discard(std::move(connection));
   }
   return nullptr;
 }
 
-void UpstreamPool::NoteRest(Micros rest, bool kept) {
-  rests_.Record(rest, kept);
-  if (!kept && !fade_.set()) fade_.Set(kFadeEvery, [this] { Fade(); });
+void UpstreamPool::RecordReuse(Micros idle_time, bool answered) {
+  idle_reuse_.Record(idle_time, answered);
+  if (!answered && !decay_timer_.set()) decay_timer_.Set(kDecayInterval, [this] { DecayStatistics(); });
 }
 
-void UpstreamPool::Fade() {
-  if (rests_.Decay()) fade_.Set(kFadeEvery, [this] { Fade(); });
+void UpstreamPool::DecayStatistics() {
+  if (idle_reuse_.Decay()) decay_timer_.Set(kDecayInterval, [this] { DecayStatistics(); });
 }
 
-bool UpstreamPool::DropOneIdle() {
+bool UpstreamPool::CloseOneIdle() {
   for (auto& [id, pool] : pools_) {
     if (pool.idle.empty()) continue;
-    DropIdle(*pool.idle.front());
+    CloseIdle(*pool.idle.front());
     return true;
   }
   return false;
 }
 
-// Giving up means closing: the worker stops its work when the connection goes.
+// Cancelling closes the connection: the server stops working on the request then.
 void UpstreamPool::Cancel(AttemptKey key) {
   auto it = busy_.find(key);
   if (it == busy_.end()) return;
-  std::unique_ptr<Link> link = std::move(it->second);
+  std::unique_ptr<Connection> connection = std::move(it->second);
   busy_.erase(it);
-  Discard(std::move(link));
+  Discard(std::move(connection));
 }
 
 bool UpstreamPool::RevokeUnsent(AttemptKey key) {
@@ -283,52 +283,53 @@
   return true;
 }
 
-void UpstreamPool::NoteSurplus(ServerId worker) {
-  auto it = pools_.find(worker);
-  if (it != pools_.end()) it->second.wary_until = loop_.Now() + kWaryFor;
+void UpstreamPool::RecordExtraData(ServerId server) {
+  auto it = pools_.find(server);
+  if (it != pools_.end()) it->second.cautious_until = loop_.Now() + kExtraDataCaution;
 }
 
-void UpstreamPool::Finish(Link& link, AttemptOutcome end, PayloadRef answer) {
-  auto it = busy_.find(link.key);
+void UpstreamPool::Finish(Connection& connection, AttemptOutcome end, PayloadRef response) {
+  auto it = busy_.find(connection.key);
   if (it == busy_.end()) return;
-  std::unique_ptr<Link> owned = std::move(it->second);
+  std::unique_ptr<Connection> owned = std::move(it->second);
   busy_.erase(it);
   owned->busy = false;
   AttemptKey key = owned->key;
-  // Parked first: the outcome may have the module send to this worker again at once.
+  // Returned first: on the outcome the module may send to this server again immediately.
   if (owned->reusable()) {
-    Park(std::move(owned));
+    ReturnToPool(std::move(owned));
   } else {
     Discard(std::move(owned));
   }
-  dispatcher_.OnAttemptEnded(key, end, std::move(answer));
+  dispatcher_.OnAttemptEnded(key, end, std::move(response));
 }
 
-void UpstreamPool::Park(std::unique_ptr<Link> link) {
-  auto it = pools_.find(link->worker);
-  if (it == pools_.end() || !(it->second.endpoint == link->endpoint)) return Discard(std::move(link));
-  Link& parked = *link;
-  parked.parked_at = loop_.Now();
-  it->second.idle.push_back(std::move(link));
-  parked.place = std::prev(it->second.idle.end());
-  parked.timer.Set(limits_.idle * kIdlePartNumerator / kIdlePartDenominator,
-                   [this, &parked] { DropIdle(parked); });
+void UpstreamPool::ReturnToPool(std::unique_ptr<Connection> connection) {
+  auto it = pools_.find(connection->server);
+  if (it == pools_.end() || !(it->second.endpoint == connection->endpoint))
+    return Discard(std::move(connection));
+  Connection& returned = *connection;
+  returned.idle_since = loop_.Now();
+  it->second.idle.push_back(std::move(connection));
+  returned.position = std::prev(it->second.idle.end());
+  returned.timer.Set(limits_.idle_timeout * kIdleTimeoutNumerator / kIdleTimeoutDenominator,
+                     [this, &returned] { CloseIdle(returned); });
 }
 
-void UpstreamPool::DropIdle(Link& link) {
-  auto it = pools_.find(link.worker);
+void UpstreamPool::CloseIdle(Connection& connection) {
+  auto it = pools_.find(connection.server);
   if (it == pools_.end()) return;
-  std::unique_ptr<Link> owned = std::move(*link.place);
-  it->second.idle.erase(link.place);
+  std::unique_ptr<Connection> owned = std::move(*connection.position);
+  it->second.idle.erase(connection.position);
   Discard(std::move(owned));
 }
 
-void UpstreamPool::Discard(std::unique_ptr<Link> link) {
-  link->socket.Close();
-  link->timer.Clear();
+void UpstreamPool::Discard(std::unique_ptr<Connection> connection) {
+  connection->socket.Close();
+  connection->timer.Clear();
   --count_;
   descriptors_.Release();
-  loop_.DeferDelete(std::move(link));
+  loop_.DeferDelete(std::move(connection));
 }
 
 }  // namespace dappletiller
--- a/src/upstream/upstream_pool.hpp
+++ b/src/upstream/upstream_pool.hpp
@@ -1,4 +1,5 @@
-// Connections to workers over HTTP: a pool for each worker, one attempt at a time on each connection.
+// HTTP connections to upstream servers: a pool for each server, one attempt at a time on each connection.
+// Reports how each attempt ended to the dispatcher; decides nothing. Lives on the event loop.
 #ifndef DAPPLETILLER_UPSTREAM_UPSTREAM_POOL_HPP_
 #define DAPPLETILLER_UPSTREAM_UPSTREAM_POOL_HPP_
 
@@ -18,13 +19,13 @@
 namespace dappletiller {
 
 struct UpstreamLimits {
-  Micros dial = 0;  // a connection that is not up by then never will be
-  Micros idle = 0;  // workers close connections that are idle for this long, at the latest
+  Micros connect_timeout = 0;  // maximum time to establish a connection
+  Micros idle_timeout = 0;     // servers close connections after at most this idle time
 };
 
 class UpstreamPool final : public UpstreamTransport {
  public:
-  // `long_bodies`: for answers with long bodies; none: bodies of the usual size only.
+  // `long_bodies`: memory for responses with long bodies; null: bodies of up to http::kMaxBodySize only.
   UpstreamPool(EventLoop& loop, Log& log, RequestDispatcher& dispatcher, DescriptorLimit& descriptors,
                const UpstreamLimits& limits, std::shared_ptr<BodyMemory> long_bodies = nullptr);
   ~UpstreamPool();
@@ -32,33 +33,33 @@
   void Start(const Attempt& attempt) override;
   void Cancel(AttemptKey key) override;
   bool RevokeUnsent(AttemptKey key) override;
-  void SetEndpoint(ServerId worker, const Endpoint& endpoint) override;
-  void StopUsing(ServerId worker) override;
-  void Remove(ServerId worker) override;
+  void SetEndpoint(ServerId server, const Endpoint& endpoint) override;
+  void StopUsing(ServerId server) override;
+  void Remove(ServerId server) override;
 
   void SetLimits(const UpstreamLimits& limits) { limits_ = limits; }
   std::size_t pools() const { return pools_.size(); }
   std::size_t connections() const { return count_; }
 
  private:
-  class Link;
-  using LinkList = std::list<std::unique_ptr<Link>>;
+  class Connection;
+  using ConnectionList = std::list<std::unique_ptr<Connection>>;
   struct Pool {
     Endpoint endpoint;
-    LinkList idle;          // the most recently used last
-    Micros wary_until = 0;  // it has sent more than it was asked for
+    ConnectionList idle;        // most recently used last
+    Micros cautious_until = 0;  // it has sent more than one response to a request
   };
 
-  void NoteRest(Micros rest, bool kept);
-  void NoteSurplus(ServerId worker);
-  void Fade();
+  void RecordReuse(Micros idle_time, bool answered);
+  void RecordExtraData(ServerId server);
+  void DecayStatistics();
 
-  std::unique_ptr<Link> TakeIdle(Pool& pool);
-  bool DropOneIdle();
-  void Finish(Link& link, AttemptOutcome end, PayloadRef answer);
-  void Park(std::unique_ptr<Link> link);
-  void DropIdle(Link& link);
-  void Discard(std::unique_ptr<Link> link);
+  std::unique_ptr<Connection> TakeIdle(Pool& pool);
+  bool CloseOneIdle();
+  void Finish(Connection& connection, AttemptOutcome end, PayloadRef response);
+  void ReturnToPool(std::unique_ptr<Connection> connection);
+  void CloseIdle(Connection& connection);
+  void Discard(std::unique_ptr<Connection> connection);
 
   EventLoop& loop_;
   Log& log_;
@@ -67,10 +68,10 @@
   UpstreamLimits limits_;
   std::shared_ptr<BodyMemory> long_bodies_;
   std::unordered_map<ServerId, Pool> pools_;
-  std::unordered_map<AttemptKey, std::unique_ptr<Link>, AttemptKeyHash> busy_;
+  std::unordered_map<AttemptKey, std::unique_ptr<Connection>, AttemptKeyHash> busy_;
   std::size_t count_ = 0;
-  limits::IdleReuseEstimator rests_;
-  Timer fade_;  // of what is known of rests, so that they are tried again
+  limits::IdleReuseEstimator idle_reuse_;
+  Timer decay_timer_;  // decays the idle-time statistics, so that long idle times are tried again
 };
 
 }  // namespace dappletiller
--- a/tests/admin/console_test.cpp
+++ b/tests/admin/console_test.cpp
@@ -1,5 +1,5 @@
-// The operators' console: what a call asks for, workers held across discovery and processes, the lame duck,
-// and the platform's socket. Real sockets on loopback, bounded waits.
+// The operators' console: parsing of requests, drained servers across discovery updates and processes,
+// lame-duck mode, and the inherited socket.
 #include "admin/console.hpp"
 
 #include <string>
@@ -15,7 +15,7 @@
 
 using console::Verb;
 
-TEST_CASE("console calls are read by method, path and one who=") {
+TEST_CASE("console requests are parsed by method, path and a single who= parameter") {
   struct Row {
     const char* method;
     const char* target;
@@ -50,7 +50,8 @@
   }
 }
 
-TEST_CASE("administrative drains: idempotent, slow start after an undrain, and handed on only complete") {
+TEST_CASE(
+    "administrative drains: idempotent, slow start after an undrain, and restored only from complete files") {
   drain::AdministrativeDrains drains;
   CHECK(drains.Drain("w1"));
   CHECK_FALSE(drains.Drain("w1"));
@@ -61,7 +62,7 @@
   CHECK_FALSE(drains.Undrain("w1", ToTimePoint(200)));
   CHECK(drains.EffectiveStart("w1", ToTimePoint(5)) == ToTimePoint(100));
   CHECK(drains.EffectiveStart("w1", ToTimePoint(300)) ==
-        ToTimePoint(300));  // a later start of its own counts
+        ToTimePoint(300));  // a later start of the server itself
   drains.Drain("w3");
 
   std::string text = drain::SerializeDrains(drains);
@@ -71,7 +72,7 @@
   CHECK_FALSE(next->IsDrained("w1"));
   CHECK(next->EffectiveStart("w1", TimePoint{}) == ToTimePoint(100));
 
-  // Cut short anywhere, foreign, or of another version: nothing.
+  // Truncated, of another format or of another version: rejected.
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     CAPTURE(cut);
     CHECK_FALSE(drain::ParseDrains(text.substr(0, cut)).has_value());
@@ -85,59 +86,61 @@
   }
 }
 
-TEST_CASE("a detached worker gets no new call while discovery still lists it, and comes back on attach") {
-  Rig rig;
-  Host a, b;
-  rig.Know({&a, &b});
+TEST_CASE(
+    "a drained server gets no new requests while discovery lists it as ready, and returns after an undrain") {
+  ProxyFixture fixture;
+  TestServer a, b;
+  fixture.SetEndpoints({&a, &b});
   std::string uid_a = "w" + std::to_string(a.port);
-  CHECK_FALSE(rig.dispatcher.Drain("never-listed"));
-  // A call in flight at the worker when it is detached still gets its answer from it.
-  Peer first = rig.Client();
-  Peer* at = nullptr;
+  CHECK_FALSE(fixture.dispatcher.Drain("never-listed"));
+  // A request in flight at the server when it is drained still gets its response.
+  TestConnection first = fixture.ConnectClient();
+  TestConnection* at = nullptr;
   for (int i = 0; at == nullptr; ++i) {
     REQUIRE(i < 8);
     first.text.clear();
     std::string id = "c" + std::to_string(i);
-    first.Say(Check(id));
-    Peer& got = [&]() -> Peer& {
-      Peer* found = nullptr;
-      rig.Until("a worker has the request", [&] {
-        for (Host* h : {&a, &b}) {
+    first.Send(SafeRequest(id));
+    TestConnection& got = [&]() -> TestConnection& {
+      TestConnection* found = nullptr;
+      fixture.WaitUntil("a server has the request", [&] {
+        for (TestServer* h : {&a, &b}) {
           h->Accept();
-          for (Peer& p : h->peers) {
-            if (p.Has("Request-Id: " + id + "\r\n")) found = &p;
+          for (TestConnection& p : h->connections) {
+            if (p.HasReceived("Request-Id: " + id + "\r\n")) found = &p;
           }
         }
         return found != nullptr;
       });
       return *found;
     }();
-    bool on_a = std::any_of(a.peers.begin(), a.peers.end(), [&](Peer& p) { return &p == &got; });
+    bool on_a = std::any_of(a.connections.begin(), a.connections.end(),
+                            [&](TestConnection& p) { return &p == &got; });
     if (on_a) {
       at = &got;
     } else {
       got.text.clear();
-      got.Say(Answer(200, "b " + id));
-      rig.Hears(first, "b " + id);
+      got.Send(Response(200, "b " + id));
+      fixture.WaitForData(first, "b " + id);
     }
   }
-  REQUIRE(rig.dispatcher.Drain(uid_a));
-  REQUIRE(rig.dispatcher.Drain(uid_a));
-  rig.Know({&a, &b}, EndpointList::Kind::kSnapshot);  // discovery still says ready
-  at->Say(Answer(200, "from a"));
-  rig.Hears(first, "from a");
+  REQUIRE(fixture.dispatcher.Drain(uid_a));
+  REQUIRE(fixture.dispatcher.Drain(uid_a));
+  fixture.SetEndpoints({&a, &b}, EndpointList::Kind::kSnapshot);  // discovery still lists the server as ready
+  at->Send(Response(200, "from a"));
+  fixture.WaitForData(first, "from a");
   for (int i = 0; i < 6; ++i) {
-    Peer client = rig.Client();
+    TestConnection client = fixture.ConnectClient();
     std::string id = "d" + std::to_string(i);
-    client.Say(Check(id));
-    Peer& got = rig.Request(b, id);
+    client.Send(SafeRequest(id));
+    TestConnection& got = fixture.WaitForRequest(b, id);
     got.text.clear();
-    got.Say(Answer(200, "ok " + id));
-    rig.Hears(client, "ok " + id);
+    got.Send(Response(200, "ok " + id));
+    fixture.WaitForData(client, "ok " + id);
   }
-  for (Peer& p : a.peers) CHECK(p.Heard().find("Request-Id: d") == std::string::npos);
-  CHECK(rig.dispatcher.Undrain(uid_a));
-  CHECK_FALSE(rig.dispatcher.drains().IsDrained(uid_a));
+  for (TestConnection& p : a.connections) CHECK(p.Received().find("Request-Id: d") == std::string::npos);
+  CHECK(fixture.dispatcher.Undrain(uid_a));
+  CHECK_FALSE(fixture.dispatcher.drains().IsDrained(uid_a));
 }
 
 class Answers final : public ConsoleHandler {
@@ -149,97 +152,102 @@
   std::vector<Verb> seen;
 };
 
-TEST_CASE("the console answers at once while silent callers hold connections, and gives each a clear no") {
-  Rig rig;
+TEST_CASE("the console responds immediately while silent clients hold connections, and reports errors") {
+  ProxyFixture fixture;
   Answers handler;
-  Console console(rig.loop, rig.log, handler);
+  Console console(fixture.loop, fixture.log, handler);
   console.Listen({kLoopback, 0});
-  std::vector<Peer> silent;
-  for (std::size_t i = 0; i < Console::kMaxConnections + 4; ++i) silent.push_back(Peer::Dial(console.port()));
-  Peer half = Peer::Dial(console.port());
-  half.Say("PUT /_lameduck/on HTTP/1.1\r\nHo");
-  Peer ready = Peer::Dial(console.port());
-  ready.Say("GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n");
-  rig.Hears(ready, "HTTP/1.1 200");
-  rig.Until("the ready sink is closed", [&] { return ready.Ended(); });
-  Peer unknown = Peer::Dial(console.port());
-  unknown.Say("PUT /_plan-servers/detach?who=nobody HTTP/1.1\r\nHost: x\r\n\r\n");
-  rig.Hears(unknown, "HTTP/1.1 404");
-  Peer bad = Peer::Dial(console.port());
-  bad.Say("NOT HTTP\r\n\r\n");
-  rig.Hears(bad, "HTTP/1.1 400");
-  rig.Until("the half-sent call is given up", [&] { return half.Ended(); });
+  std::vector<TestConnection> silent;
+  for (std::size_t i = 0; i < Console::kMaxConnections + 4; ++i)
+    silent.push_back(TestConnection::Connect(console.port()));
+  TestConnection half = TestConnection::Connect(console.port());
+  half.Send("PUT /_lameduck/on HTTP/1.1\r\nHo");
+  TestConnection ready = TestConnection::Connect(console.port());
+  ready.Send("GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n");
+  fixture.WaitForData(ready, "HTTP/1.1 200");
+  fixture.WaitUntil("the console connection is closed", [&] { return ready.IsClosed(); });
+  TestConnection unknown = TestConnection::Connect(console.port());
+  unknown.Send("PUT /_plan-servers/detach?who=nobody HTTP/1.1\r\nHost: x\r\n\r\n");
+  fixture.WaitForData(unknown, "HTTP/1.1 404");
+  TestConnection bad = TestConnection::Connect(console.port());
+  bad.Send("NOT HTTP\r\n\r\n");
+  fixture.WaitForData(bad, "HTTP/1.1 400");
+  fixture.WaitUntil("the incomplete request is closed", [&] { return half.IsClosed(); });
   CHECK(handler.seen == std::vector<Verb>{Verb::kReady, Verb::kDetach});
   CHECK(console.connections() <= Console::kMaxConnections);
 }
 
-TEST_CASE("a lame duck says no on /up, closes idle connections, serves open ones, and comes back") {
-  Rig rig;
-  Host worker;
-  rig.Know({&worker});
-  Peer idle = rig.Client();
-  idle.Say(Check("i0"));
-  Peer& at = rig.Request(worker, "i0");
-  at.Say(Answer(200, "first"));
-  rig.Hears(idle, "first");
-  Peer busy = rig.Client();
-  busy.Say(Check("b0"));
-  Peer& busy_at = rig.Request(worker, "b0");
-  REQUIRE(rig.listener.connections() == 2);
-  rig.listener.Lameduck(true);
-  CHECK(rig.listener.connections() == 1);  // the idle one goes at once, not at its idle time
-  rig.Until("the idle client is closed", [&] { return idle.Ended(); });
+TEST_CASE(
+    "lame-duck mode fails health checks, closes idle connections, serves open ones, and can be switched "
+    "off") {
+  ProxyFixture fixture;
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection idle = fixture.ConnectClient();
+  idle.Send(SafeRequest("i0"));
+  TestConnection& at = fixture.WaitForRequest(server, "i0");
+  at.Send(Response(200, "first"));
+  fixture.WaitForData(idle, "first");
+  TestConnection busy = fixture.ConnectClient();
+  busy.Send(SafeRequest("b0"));
+  TestConnection& busy_at = fixture.WaitForRequest(server, "b0");
+  REQUIRE(fixture.listener.connections() == 2);
+  fixture.listener.SetLameDuck(true);
+  CHECK(fixture.listener.connections() ==
+        1);  // the idle connection is closed immediately, without waiting for the idle timeout
+  fixture.WaitUntil("the idle client is disconnected", [&] { return idle.IsClosed(); });
   busy_at.text.clear();
-  busy_at.Say(Answer(200, "second"));
-  rig.Hears(busy, "Connection: close");
-  Peer probe = rig.Client();
-  probe.Say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-  rig.Hears(probe, "HTTP/1.1 503");
-  rig.listener.Lameduck(false);
-  Peer again = rig.Client();
-  again.Say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-  rig.Hears(again, "HTTP/1.1 200");
+  busy_at.Send(Response(200, "second"));
+  fixture.WaitForData(busy, "Connection: close");
+  TestConnection probe = fixture.ConnectClient();
+  probe.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+  fixture.WaitForData(probe, "HTTP/1.1 503");
+  fixture.listener.SetLameDuck(false);
+  TestConnection again = fixture.ConnectClient();
+  again.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+  fixture.WaitForData(again, "HTTP/1.1 200");
 }
 
-TEST_CASE("the platform's socket is taken only if it is a listening TCP socket") {
-  Rig rig;
+TEST_CASE("an inherited socket is accepted only if it is a listening TCP socket") {
+  ProxyFixture fixture;
   FileDescriptor plain(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  CHECK_THROWS(rig.listener.Inherit(plain.get()));
+  CHECK_THROWS(fixture.listener.Inherit(plain.get()));
   FileDescriptor datagram(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  CHECK_THROWS(rig.listener.Inherit(datagram.get()));
-  CHECK_THROWS(rig.listener.Inherit(1000));  // no descriptor at all
+  CHECK_THROWS(fixture.listener.Inherit(datagram.get()));
+  CHECK_THROWS(fixture.listener.Inherit(1000));  // not an open descriptor
 }
 
-// Seen on a day with new settings: after SIGHUP clients named a new class and got 400 for most of the day.
+// Seen in operation: after SIGHUP, clients used a new class and got status 400.
 TEST_CASE(
-    "a class added by a reload is served, a dropped one ends its open calls, and an odd effect is not "
-    "taken") {
-  Rig rig;
-  Host worker;
-  rig.Know({&worker});
+    "a class added by a reload is served, a removed one finishes its open requests, and an unknown effect is "
+    "ignored") {
+  ProxyFixture fixture;
+  TestServer server;
+  fixture.SetEndpoints({&server});
   std::string fresh = "GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: n1\r\nRequest-Class: look\r\n\r\n";
-  Peer before = rig.Client();
-  before.Say(fresh);
-  rig.Hears(before, "HTTP/1.1 400");
-  // The reload drops "check" while one of its calls is open: it keeps its class and gets its answer.
-  Peer open = rig.Client();
-  open.Say(Check("c1"));
-  Peer& open_at = rig.Request(worker, "c1");
-  rig.listener.Retune({"look"}, {kBound}, {balancer::Effect::kSafe});
+  TestConnection before = fixture.ConnectClient();
+  before.Send(fresh);
+  fixture.WaitForData(before, "HTTP/1.1 400");
+  // The reload removes "check" while a request of it is open: the request keeps its class and gets its
+  // response.
+  TestConnection open = fixture.ConnectClient();
+  open.Send(SafeRequest("c1"));
+  TestConnection& open_at = fixture.WaitForRequest(server, "c1");
+  fixture.listener.UpdateClasses({"look"}, {kBound}, {balancer::Effect::kSafe});
   open_at.text.clear();
-  open_at.Say(Answer(200, "checked"));
-  rig.Hears(open, "checked");
-  Peer after = rig.Client();
-  after.Say(fresh);
-  Peer& at = rig.Request(worker, "n1");
+  open_at.Send(Response(200, "checked"));
+  fixture.WaitForData(open, "checked");
+  TestConnection after = fixture.ConnectClient();
+  after.Send(fresh);
+  TestConnection& at = fixture.WaitForRequest(server, "n1");
   at.text.clear();
-  at.Say(Answer(200, "looked"));
-  rig.Hears(after, "looked");
-  // An effect that no class of the start has is not taken: the module could not decide it.
-  rig.listener.Retune({"odd"}, {kBound}, {static_cast<balancer::Effect>(99)});
-  Peer odd = rig.Client();
-  odd.Say("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: o1\r\nRequest-Class: odd\r\n\r\n");
-  rig.Hears(odd, "HTTP/1.1 400");
+  at.Send(Response(200, "looked"));
+  fixture.WaitForData(after, "looked");
+  // A class with an effect that no original class has is ignored, since the module has no matching class.
+  fixture.listener.UpdateClasses({"odd"}, {kBound}, {static_cast<balancer::Effect>(99)});
+  TestConnection odd = fixture.ConnectClient();
+  odd.Send("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: o1\r\nRequest-Class: odd\r\n\r\n");
+  fixture.WaitForData(odd, "HTTP/1.1 400");
 }
 
 }  // namespace
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,6 +1,6 @@
-// Following the list over real sockets: every way in which a call to discovery can end, in sequence, and that
-// a change is told by the call that follows. Waits are bounded by far less than the pauses that the settings'
-// ask time alone would allow here, so that a change told late fails them.
+// The discovery client over real sockets: each way in which a request can fail, in sequence, and the delivery
+// of a change by the next request. The bound on waits is far below the backoff that the poll interval alone
+// would permit, so a late change fails the test.
 #include <string>
 #include <vector>
 
@@ -10,11 +10,11 @@
 namespace dappletiller::testing {
 namespace {
 
-// A tenth of it, doubling, was the pause after a failed call: 12 s, 24 s, 48 s, 96 s.
+// A backoff of a tenth of this, doubling, would be 12 s, 24 s, 48 s, 96 s.
 constexpr Micros kAskWithin = 120'000 * kMs;
 
-balancer::Settings Asking(Micros span = kAskWithin) {
-  balancer::Settings s = Rules();
+balancer::Settings PollingSettings(Micros span = kAskWithin) {
+  balancer::Settings s = TestSettings();
   s.endpoints_on_request = true;
   s.poll_interval = span;
   return s;
@@ -25,161 +25,168 @@
   return "/discovery/hosts?after=" + std::to_string(version) + "&wait_ms=1000";
 }
 
-std::string Entry(const Host& host, const char* state) {
+std::string Entry(const TestServer& host, const char* state) {
   return R"({"uid":"w)" + std::to_string(host.port) + R"(","endpoint":"127.0.0.1:)" +
          std::to_string(host.port) + R"(","az":"here","model":"plain","state":")" + state +
          R"(","boot_ms":0})";
 }
 
 std::string Changes(int version, const std::string& entries = "") {
-  return Answer(200, R"({"rev":)" + std::to_string(version) + R"(,"all":false,"targets":[)" + entries + "]}");
+  return Response(200,
+                  R"({"rev":)" + std::to_string(version) + R"(,"all":false,"targets":[)" + entries + "]}");
 }
 
-// Where a call goes now: true if to `host`, false if to `other`.
-bool Goes(Rig& rig, Host& host, Host& other, const std::string& id) {
-  Peer client = rig.Client();
-  client.Say(Check(id));
+// Sends a request and returns whether it goes to `host` rather than to `other`.
+bool Goes(ProxyFixture& fixture, TestServer& host, TestServer& other, const std::string& id) {
+  TestConnection client = fixture.ConnectClient();
+  client.Send(SafeRequest(id));
   bool there = false;
-  auto has = [&](Host& at) {
+  auto has = [&](TestServer& at) {
     at.Accept();
-    for (Peer& peer : at.peers) {
-      if (!peer.Has("Request-Id: " + id + "\r\n")) continue;
-      peer.text.clear();
-      peer.Say(Answer(200, id));
+    for (TestConnection& connection : at.connections) {
+      if (!connection.HasReceived("Request-Id: " + id + "\r\n")) continue;
+      connection.text.clear();
+      connection.Send(Response(200, id));
       return true;
     }
     return false;
   };
-  rig.Until("the call is sent", [&] { return (there = has(host)) || has(other); });
-  rig.Hears(client, "\r\n\r\n" + id);
+  fixture.WaitUntil("the request is sent", [&] { return (there = has(host)) || has(other); });
+  fixture.WaitForData(client, "\r\n\r\n" + id);
   return there;
 }
 
 struct Kind {
   const char* what;
-  void (*fail)(Rig& rig, Peer& asked);
+  void (*fail)(ProxyFixture& fixture, TestConnection& asked);
 };
 
 const std::vector<Kind> kKinds = {
-    {"turned down", [](Rig&, Peer& asked) { asked.Say(Answer(503)); }},
-    {"reset", [](Rig&, Peer& asked) { asked.Abort(); }},
-    {"closed", [](Rig&, Peer& asked) { asked.Close(); }},
-    {"no list", [](Rig&, Peer& asked) { asked.Say(Answer(200, "{]")); }},
-    {"no answer of HTTP", [](Rig&, Peer& asked) { asked.Say("nonsense\r\n\r\n"); }},
-    {"half an answer, then the end",
-     [](Rig&, Peer& asked) {
-       asked.Say("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
+    {"rejected", [](ProxyFixture&, TestConnection& asked) { asked.Send(Response(503)); }},
+    {"reset", [](ProxyFixture&, TestConnection& asked) { asked.Reset(); }},
+    {"closed", [](ProxyFixture&, TestConnection& asked) { asked.Close(); }},
+    {"malformed list", [](ProxyFixture&, TestConnection& asked) { asked.Send(Response(200, "{]")); }},
+    {"malformed HTTP", [](ProxyFixture&, TestConnection& asked) { asked.Send("nonsense\r\n\r\n"); }},
+    {"half a response, then a close",
+     [](ProxyFixture&, TestConnection& asked) {
+       asked.Send("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
        asked.Close();
      }},
-    {"half an answer, then silence",
-     [](Rig& rig, Peer& asked) {
-       asked.Say("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
-       rig.Until("it is left", [&] { return asked.Ended(); });
+    {"half a response, then silence",
+     [](ProxyFixture& fixture, TestConnection& asked) {
+       asked.Send("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
+       fixture.WaitUntil("the request is abandoned", [&] { return asked.IsClosed(); });
+     }},
+    {"silence",
+     [](ProxyFixture& fixture, TestConnection& asked) {
+       fixture.WaitUntil("the request is abandoned", [&] { return asked.IsClosed(); });
      }},
-    {"silence", [](Rig& rig, Peer& asked) { rig.Until("it is left", [&] { return asked.Ended(); }); }},
 };
 
-// Guards against a change that counts as told while the proxy still pauses after calls that failed.
-TEST_CASE("after any run of failed calls of any kind the next one comes, and tells the change") {
-  Rig rig(Asking());
-  Host leaving, staying;
-  rig.Know({&leaving});
-  rig.discovery.Watch();
+// A change must not count as notified while the proxy is still in backoff after failed requests.
+TEST_CASE("after any run of failures the next request is sent and delivers the change") {
+  ProxyFixture fixture(PollingSettings());
+  TestServer leaving, staying;
+  fixture.SetEndpoints({&leaving});
+  fixture.discovery.Watch();
   int version = 41;
   for (const Kind& kind : kKinds) {
     CAPTURE(kind.what);
-    // Silences take their time each: two of them are a run, of what ends at once four.
+    // Two failures in a row if each takes a timeout, four if they are immediate.
     bool slow = std::string(kind.what).find("silence") != std::string::npos;
     for (int i = 0; i < (slow ? 2 : 4); ++i) {
-      Peer& asked = Asked(rig, First(version));
-      kind.fail(rig, asked);
+      TestConnection& asked = WaitForDiscoveryRequest(fixture, First(version));
+      kind.fail(fixture, asked);
       asked.text.clear();
     }
-    // Drains, and is back for the next kind: both are told by the first call that is answered.
-    Asked(rig, First(version))
-        .Say(Changes(version + 1, Entry(leaving, "draining") + "," + Entry(staying, "up")));
-    Peer& watch = Asked(rig, Waiting(version + 1));
-    CHECK(Goes(rig, staying, leaving, "d" + std::to_string(version)));
-    watch.Say(Changes(version + 2, Entry(leaving, "up") + "," + Entry(staying, "removed")));
-    Peer& next = Asked(rig, Waiting(version + 2));
-    CHECK(Goes(rig, leaving, staying, "u" + std::to_string(version)));
+    // The server drains and returns for the next kind of failure; both changes come with the first response.
+    WaitForDiscoveryRequest(fixture, First(version))
+        .Send(Changes(version + 1, Entry(leaving, "draining") + "," + Entry(staying, "up")));
+    TestConnection& watch = WaitForDiscoveryRequest(fixture, Waiting(version + 1));
+    CHECK(Goes(fixture, staying, leaving, "d" + std::to_string(version)));
+    watch.Send(Changes(version + 2, Entry(leaving, "up") + "," + Entry(staying, "removed")));
+    TestConnection& next = WaitForDiscoveryRequest(fixture, Waiting(version + 2));
+    CHECK(Goes(fixture, leaving, staying, "u" + std::to_string(version)));
     version += 2;
-    next.Say(Answer(503));  // the watch ends; the next kind meets the call after it
+    next.Send(Response(503));  // ends the watch; the next kind of failure affects the request after it
   }
 }
 
-// Guards against the clock of the first silence running on while the second is followed by a long pause.
-TEST_CASE("a watch that falls silent, one that replaces it and is turned down, one that is silent too") {
-  Rig rig(Asking());
-  Host leaving, staying;
-  rig.Know({&leaving});
-  rig.discovery.Watch();
-  Asked(rig, First(41)).Say(Changes(41));
-  Peer& silent = Asked(rig, Waiting(41));
-  rig.Until("the silent one is left", [&] { return silent.Ended(); });
-  for (int i = 0; i < 6; ++i) Asked(rig, First(41)).Say(Answer(503));
-  Peer& again = Asked(rig, First(41));
-  rig.Until("the second silent one is left", [&] { return again.Ended(); });
+// The time since the first silent watch counts; the second one must not be followed by a long backoff.
+TEST_CASE("a silent watch, rejected replacements, and another silent one") {
+  ProxyFixture fixture(PollingSettings());
+  TestServer leaving, staying;
+  fixture.SetEndpoints({&leaving});
+  fixture.discovery.Watch();
+  WaitForDiscoveryRequest(fixture, First(41)).Send(Changes(41));
+  TestConnection& silent = WaitForDiscoveryRequest(fixture, Waiting(41));
+  fixture.WaitUntil("the silent watch is closed", [&] { return silent.IsClosed(); });
+  for (int i = 0; i < 6; ++i) WaitForDiscoveryRequest(fixture, First(41)).Send(Response(503));
+  TestConnection& again = WaitForDiscoveryRequest(fixture, First(41));
+  fixture.WaitUntil("the second silent watch is closed", [&] { return again.IsClosed(); });
   again.text.clear();
-  Asked(rig, First(41)).Say(Changes(42, Entry(leaving, "draining") + "," + Entry(staying, "up")));
-  Asked(rig, Waiting(42));
-  CHECK(Goes(rig, staying, leaving, "a1"));
+  WaitForDiscoveryRequest(fixture, First(41))
+      .Send(Changes(42, Entry(leaving, "draining") + "," + Entry(staying, "up")));
+  WaitForDiscoveryRequest(fixture, Waiting(42));
+  CHECK(Goes(fixture, staying, leaving, "a1"));
 }
 
-// Guards against leaving a call that stands in discovery's queue: what replaces it stands there behind it.
-TEST_CASE("a call that discovery holds for some time is heard out") {
-  Rig rig(Asking());
-  Host worker;
-  rig.Know({});
-  rig.discovery.Watch();
-  Peer& asked = Asked(rig, First(41));
-  // On the loop's own clock, so that a busy machine delays both alike.
-  Timer served(rig.loop);
-  served.Set(2'400 * kMs, [&] { asked.Say(Changes(42, Entry(worker, "up"))); });
-  rig.Until("the watch goes on", [&] { return asked.Has("GET " + Waiting(42)); });
-  CHECK(rig.registry.peers.size() == 1);
-  CHECK(Goes(rig, worker, worker, "a1"));
+// A request that is queued at discovery must not be abandoned: its replacement would be queued behind it.
+TEST_CASE("a request that discovery queues for some time is not abandoned") {
+  ProxyFixture fixture(PollingSettings());
+  TestServer server;
+  fixture.SetEndpoints({});
+  fixture.discovery.Watch();
+  TestConnection& asked = WaitForDiscoveryRequest(fixture, First(41));
+  // On the event loop's clock, so that load on the machine delays both equally.
+  Timer served(fixture.loop);
+  served.Set(2'400 * kMs, [&] { asked.Send(Changes(42, Entry(server, "up"))); });
+  fixture.WaitUntil("the watch continues", [&] { return asked.HasReceived("GET " + Waiting(42)); });
+  CHECK(fixture.discovery_server.connections.size() == 1);
+  CHECK(Goes(fixture, server, server, "a1"));
 }
 
-// Guards against a connection to discovery that never comes up holding the list back.
-TEST_CASE("dials to discovery that hang or are refused are followed by others") {
-  Rig rig(Asking());
-  Host hung(false, true), worker;
-  rig.Know({});
+// A connection attempt to discovery that hangs must not delay the list.
+TEST_CASE("connection attempts to discovery that hang or are refused are retried") {
+  ProxyFixture fixture(PollingSettings());
+  TestServer hung(false, true), server;
+  fixture.SetEndpoints({});
   std::uint16_t refused = 0;
   {
-    Host gone;
+    TestServer gone;
     refused = gone.port;
   }
-  rig.discovery.Move({kLoopback, refused}, "discovery");
-  int failed = 0, last = 0;  // the tally begins anew each second
-  rig.Until("six dials were refused", [&] {
-    int now = rig.dispatcher.counters().list_failures;
+  fixture.discovery.MoveTo({kLoopback, refused}, "discovery");
+  int failed = 0, last = 0;  // the counters are reset every second
+  fixture.WaitUntil("six connections were refused", [&] {
+    int now = fixture.dispatcher.counters().discovery_failures;
     failed += now >= last ? now - last : now;
     last = now;
     return failed >= 6;
   });
-  rig.discovery.Move(hung.endpoint(), "discovery");
-  Micros left = rig.loop.Now() + 2 * limits::WatchTimes::kAnswerTime;
-  rig.Until("a dial was left", [&] { return rig.loop.Now() > left; });
+  fixture.discovery.MoveTo(hung.endpoint(), "discovery");
+  Micros left = fixture.loop.Now() + 2 * RetrySchedule::kResponseTimeout;
+  fixture.WaitUntil("a connection attempt was abandoned", [&] { return fixture.loop.Now() > left; });
   hung.Open();
-  rig.Until("it is asked for the whole list", [&] {
+  fixture.WaitUntil("a snapshot is requested", [&] {
     hung.Accept();
-    return !hung.peers.empty() && hung.peers.back().Has("GET /discovery/hosts HTTP/1.1\r\n");
+    return !hung.connections.empty() &&
+           hung.connections.back().HasReceived("GET /discovery/hosts HTTP/1.1\r\n");
   });
-  hung.peers.back().Say(Answer(200, R"({"rev":7,"all":true,"targets":[)" + Entry(worker, "up") + "]}"));
-  CHECK(Goes(rig, worker, worker, "a1"));
+  hung.connections.back().Send(
+      Response(200, R"({"rev":7,"all":true,"targets":[)" + Entry(server, "up") + "]}"));
+  CHECK(Goes(fixture, server, server, "a1"));
 }
 
-// Guards against a first answer that is long in coming reading as a list of some age.
-TEST_CASE("what passed tells that discovery has not answered yet") {
+// While the first response is missing, the log must not report the age of a list.
+TEST_CASE("the traffic log line shows that discovery has not responded yet") {
   FILE* file = std::tmpfile();
   REQUIRE(file != nullptr);
   {
     EventLoop loop;
     Log log(file, "test");
-    RequestDispatcher dispatcher(loop, log, Asking());
-    ++dispatcher.counters().list_calls;
+    RequestDispatcher dispatcher(loop, log, PollingSettings());
+    ++dispatcher.counters().discovery_requests;
     Micros end = loop.Now() + kBound;
     std::string text;
     while (text.find("passed:") == std::string::npos && loop.Now() < end) {
--- a/tests/discovery/retry_schedule_test.cpp
+++ b/tests/discovery/retry_schedule_test.cpp
@@ -11,7 +11,7 @@
 namespace dappletiller::limits {
 namespace {
 
-using Micros = WatchTimes::Micros;
+using Micros = RetrySchedule::Micros;
 constexpr Micros kSecond = 1'000'000;
 // From what no site sets to what none would: a call for each of these is due within it.
 const std::vector<Micros> kAsks = {0,           1,           kSecond / 100, kSecond / 5,   kSecond,
@@ -20,40 +20,42 @@
 TEST_CASE("a silent watch is noticed with time left for another call, whatever the site's ask time") {
   for (Micros ask : kAsks) {
     CAPTURE(ask);
-    Micros wait = WatchTimes::Wait(ask);
-    CHECK(wait >= WatchTimes::kLeastWait);
-    if (ask >= 2 * WatchTimes::kLeastWait) CHECK(2 * wait <= ask);
+    Micros wait = RetrySchedule::LongPollWait(ask);
+    CHECK(wait >= RetrySchedule::kMinWait);
+    if (ask >= 2 * RetrySchedule::kMinWait) CHECK(2 * wait <= ask);
     // Silent right after it was asked, the worst: counted as told at the later of the two.
-    Micros told = std::max(WatchTimes::kToldAfter, wait + WatchTimes::kToldAfterWait);
-    CHECK(WatchTimes::AnswerWithin(wait) + WatchTimes::kAnswerTime <= told);
+    Micros told = std::max(RetrySchedule::kNotifiedAfter, wait + RetrySchedule::kNotifiedAfterWait);
+    CHECK(RetrySchedule::ResponseTimeout(wait) + RetrySchedule::kResponseTimeout <= told);
     // An answer in time, by discovery's own clock and a slow call, is not taken for silence.
-    CHECK(WatchTimes::AnswerWithin(wait) >= wait + kSecond);
+    CHECK(RetrySchedule::ResponseTimeout(wait) >= wait + kSecond);
   }
-  CHECK(WatchTimes::Wait(0) == WatchTimes::kLongestWait);
+  CHECK(RetrySchedule::LongPollWait(0) == RetrySchedule::kMaxWait);
 }
 
 TEST_CASE("a call that discovery holds for half of the clock is heard out") {
-  CHECK(WatchTimes::AnswerWithin(0) > WatchTimes::kToldAfter / 2);
+  CHECK(RetrySchedule::ResponseTimeout(0) > RetrySchedule::kNotifiedAfter / 2);
 }
 
 // Each way in which the call at hand may end, right after the last moment at which it could have told.
 TEST_CASE("whatever failed before, the call that brings a change is asked with time for its answer") {
   for (Micros ask : kAsks) {
     CAPTURE(ask);
-    Micros watch = WatchTimes::AnswerWithin(WatchTimes::Wait(ask));
+    Micros watch = RetrySchedule::ResponseTimeout(RetrySchedule::LongPollWait(ask));
     auto left = [ask](Micros lost, int refusals) {
-      return WatchTimes::kToldAfter - WatchTimes::AskedAgainWithin(ask, lost, refusals);
+      return RetrySchedule::kNotifiedAfter - RetrySchedule::MaxTimeToNextRequest(ask, lost, refusals);
     };
-    CHECK(left(watch, 0) >= WatchTimes::kAnswerTime);
+    CHECK(left(watch, 0) >= RetrySchedule::kResponseTimeout);
     CHECK(left(watch, 1) >= 2 * kSecond);
     CHECK(left(watch, 2) >= kSecond);
-    CHECK(left(WatchTimes::kAnswerTime, 0) >= 2 * kSecond);  // silent, half an answer, a dial that hangs
-    CHECK(left(WatchTimes::kAnswerTime, 1) >= kSecond);
-    CHECK(left(0, 0) >= WatchTimes::kAnswerTime);  // refused, turned down, reset
-    CHECK(left(0, 1) >= WatchTimes::kAnswerTime);
+    CHECK(left(RetrySchedule::kResponseTimeout, 0) >=
+          2 * kSecond);  // silent, half an answer, a dial that hangs
+    CHECK(left(RetrySchedule::kResponseTimeout, 1) >= kSecond);
+    CHECK(left(0, 0) >= RetrySchedule::kResponseTimeout);  // refused, turned down, reset
+    CHECK(left(0, 1) >= RetrySchedule::kResponseTimeout);
     CHECK(left(0, 2) >= 2 * kSecond);
     // A watch that falls silent, and the one that replaces it as well.
-    CHECK(left(watch, 0) - WatchTimes::AskedAgainWithin(ask, WatchTimes::kAnswerTime, 0) >= kSecond / 2);
+    CHECK(left(watch, 0) - RetrySchedule::MaxTimeToNextRequest(ask, RetrySchedule::kResponseTimeout, 0) >=
+          kSecond / 2);
   }
 }
 
@@ -62,24 +64,25 @@
   for (Micros ask : kAsks) {
     for (int failures : {0, 1, 2, 3, 4, 1000, 2'000'000'000}) {
       for (double draw : {0.0, 0.25, 0.5, kMost}) {
-        for (Micros took : {Micros{0}, kSecond / 100, kSecond, WatchTimes::kAnswerTime, 100 * kSecond}) {
+        for (Micros took :
+             {Micros{0}, kSecond / 100, kSecond, RetrySchedule::kResponseTimeout, 100 * kSecond}) {
           CAPTURE(ask);
           CAPTURE(failures);
           CAPTURE(draw);
           CAPTURE(took);
-          Micros pause = WatchTimes::Pause(ask, failures, took, draw);
-          CHECK(pause >= WatchTimes::kLeastPause);
-          CHECK(pause <= WatchTimes::kLongestPause);
+          Micros pause = RetrySchedule::Backoff(ask, failures, took, draw);
+          CHECK(pause >= RetrySchedule::kMinBackoff);
+          CHECK(pause <= RetrySchedule::kMaxBackoff);
           // The sums above count with these.
-          CHECK(took + pause <= std::max(took + WatchTimes::kMostLeastPause, WatchTimes::kLongestPause));
-          CHECK(pause <= WatchTimes::AskedAgainWithin(ask, 0, 0));
+          CHECK(took + pause <= std::max(took + RetrySchedule::kMaxMinBackoff, RetrySchedule::kMaxBackoff));
+          CHECK(pause <= RetrySchedule::MaxTimeToNextRequest(ask, 0, 0));
         }
       }
     }
   }
   // Growing, so that a discovery that says no once is asked again soon and one that goes on is spared.
-  CHECK(WatchTimes::Pause(4 * kSecond, 0, 0, 0.5) < WatchTimes::Pause(4 * kSecond, 1, 0, 0.5));
-  CHECK(WatchTimes::Pause(4 * kSecond, 1, 0, 0.5) < WatchTimes::Pause(4 * kSecond, 5, 0, 0.5));
+  CHECK(RetrySchedule::Backoff(4 * kSecond, 0, 0, 0.5) < RetrySchedule::Backoff(4 * kSecond, 1, 0, 0.5));
+  CHECK(RetrySchedule::Backoff(4 * kSecond, 1, 0, 0.5) < RetrySchedule::Backoff(4 * kSecond, 5, 0, 0.5));
 }
 
 // A discovery that takes calls in turn, `gap` for each, works on those too that their callers have left, and
@@ -119,7 +122,7 @@
   Micros free_at = 0;
   auto again = [&](int who, Micros at) {
     Caller& caller = callers[static_cast<std::size_t>(who)];
-    Micros pause = WatchTimes::Pause(ask, caller.failures++, at - caller.asked, draw());
+    Micros pause = RetrySchedule::Backoff(ask, caller.failures++, at - caller.asked, draw());
     result.longest_gap = std::max(result.longest_gap, at - caller.asked + pause);
     ++caller.call;
     add(at + pause, What::kAsk, who, caller.call);
@@ -138,7 +141,7 @@
         } else {
           free_at = std::max(free_at, e.at) + gap;
           add(free_at, What::kAnswer, e.who, caller.call);
-          add(e.at + WatchTimes::AnswerWithin(0), What::kLeave, e.who, caller.call);
+          add(e.at + RetrySchedule::ResponseTimeout(0), What::kLeave, e.who, caller.call);
         }
         break;
       case What::kAnswer:
@@ -176,8 +179,8 @@
           Result result = AllAsk(fleet, gap, patience, down, 10 * kSecond);
           CHECK(result.wasted == 0);
           // As long as the calls take in turn, a tenth more, and the pauses at both ends.
-          CHECK(result.last <= down + fleet * gap * 11 / 10 + 3 * WatchTimes::kLongestPause);
-          CHECK(result.longest_gap <= WatchTimes::kAnswerTime + WatchTimes::kMostLeastPause);
+          CHECK(result.last <= down + fleet * gap * 11 / 10 + 3 * RetrySchedule::kMaxBackoff);
+          CHECK(result.longest_gap <= RetrySchedule::kResponseTimeout + RetrySchedule::kMaxMinBackoff);
           // A bound on the load of a discovery that is down or refuses: two calls a second from each.
           CHECK(result.busiest <= 2 * fleet + 5);
         }
--- a/tests/golden/console_golden_test.cpp
+++ b/tests/golden/console_golden_test.cpp
@@ -14,19 +14,19 @@
 namespace dappletiller::testing {
 namespace {
 
-std::string Ask(Rig& outside, std::uint16_t port, const std::string& line) {
-  Peer peer = Peer::Dial(port);
-  peer.Say(line + " HTTP/1.1\r\nHost: x\r\n\r\n");
-  outside.Until(line.c_str(), [&] { return peer.Ended(); });
-  return line + "\n" + peer.text + "\n----\n";
+std::string Ask(ProxyFixture& fixture, std::uint16_t port, const std::string& line) {
+  TestConnection connection = TestConnection::Connect(port);
+  connection.Send(line + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  fixture.WaitUntil(line.c_str(), [&] { return connection.IsClosed(); });
+  return line + "\n" + connection.text + "\n----\n";
 }
 
 TEST_CASE("the console of a running program answers as before") {
-  Rig outside;
-  Host worker;
-  Program program(ProgramConfig(0, worker.port),
+  ProxyFixture fixture;
+  TestServer server;
+  Program program(ProgramConfig(0, server.port),
                   {{"BALANCER_CONSOLE", "127.0.0.1:0"}, {"TMPDIR", "/nonexistent"}});
-  std::uint16_t port = PortAfter(outside, program, "console on port ");
+  std::uint16_t port = ReadPort(fixture, program, "console on port ");
   std::string all;
   for (const char* line : {"GET /_ready",
                            "PUT /_ready",
@@ -54,7 +54,7 @@
                            "PUT /_settings",
                            "GET /other",
                            "nonsense"}) {
-    all += Ask(outside, port, line);
+    all += Ask(fixture, port, line);
   }
   CHECK(Golden("console_answers.txt", all) == all);
 }
@@ -75,19 +75,19 @@
 }
 
 TEST_CASE("the view of the fleet has the same keys in the same order as before") {
-  Rig rig;
+  ProxyFixture fixture;
   NoObserver sink;
-  MembershipTransport first(rig.loop, rig.log, FixedFleet(), "n0", "z0", sink);
+  MembershipTransport first(fixture.loop, fixture.log, FixedFleet(), "n0", "z0", sink);
   first.Start();
   operators::FleetOptions options = FixedFleet();
   options.self = "m2";
   options.membership.seeds = {first.membership().self().address};
-  MembershipTransport second(rig.loop, rig.log, options, "n0", "z0", sink);
+  MembershipTransport second(fixture.loop, fixture.log, options, "n0", "z0", sink);
   second.Start();
-  rig.Until("each knows the other",
-            [&] { return first.membership().living() == 1 && second.membership().living() == 1; });
+  fixture.WaitUntil("each knows the other",
+                    [&] { return first.membership().living() == 1 && second.membership().living() == 1; });
   second.Leave();
-  rig.Until("the first knows of the leave", [&] { return first.membership().living() == 0; });
+  fixture.WaitUntil("the first knows of the leave", [&] { return first.membership().living() == 0; });
   std::string all = WithoutNumbers(first.StatusJson(0)) + "\n";
   CHECK(Golden("console_fleet.txt", all) == all);
 }
--- a/tests/golden/feed_golden_test.cpp
+++ b/tests/golden/feed_golden_test.cpp
@@ -86,16 +86,18 @@
   CHECK(origin.serial() == 12);
 }
 
-std::string AnswerOf(Rig& rig, std::uint16_t port, const std::string& request) {
-  Peer peer = Peer::Dial(port);
-  peer.Say(request);
-  rig.Until("an answer",
-            [&] { return peer.Has("\r\n\r\n") && (peer.Ended() || peer.Has("}\n") || peer.Has("}")); });
-  return peer.text;
+std::string AnswerOf(ProxyFixture& fixture, std::uint16_t port, const std::string& request) {
+  TestConnection connection = TestConnection::Connect(port);
+  connection.Send(request);
+  fixture.WaitUntil("an answer", [&] {
+    return connection.HasReceived("\r\n\r\n") &&
+           (connection.IsClosed() || connection.HasReceived("}\n") || connection.HasReceived("}"));
+  });
+  return connection.text;
 }
 
 TEST_CASE("the control server's answers, heads and all, are as before") {
-  Rig rig;
+  ProxyFixture fixture;
   config_feed::FollowerOptions options;
   options.self = "c1";
   config_feed::ConfigServer machine(options, 4);
@@ -103,8 +105,8 @@
   std::vector<config_feed::Change> entries = {{"tenant/plan-7/acme", "{}", 0},
                                               {"class/*/check", "{\"giveUp\":1}", 0}};
   machine.Publish(
-      rig.loop.Now(), 12, [&](config_feed::Baseline) { return entries; }, 7, &touched);
-  FeedServer server(rig.loop, rig.log, machine);
+      fixture.loop.Now(), 12, [&](config_feed::Baseline) { return entries; }, 7, &touched);
+  FeedServer server(fixture.loop, fixture.log, machine);
   server.Listen({kLoopback, 0});
   auto get = [](const std::string& target) {
     return "GET " + target + " HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n";
@@ -117,7 +119,7 @@
         get("/feed?self=p1&serial=x&epoch=7&after=1&wait_ms=0&services=plan-7"), get("/other"),
         std::string("PUT /feed HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n"),
         std::string("nonsense\r\n\r\n")}) {
-    all += AnswerOf(rig, server.port(), request) + "\n----\n";
+    all += AnswerOf(fixture, server.port(), request) + "\n----\n";
   }
   CHECK(Golden("control_answers.txt", all) == all);
 }
@@ -127,14 +129,14 @@
 };
 
 TEST_CASE("the state of the feed that the console shows is as before") {
-  Rig rig;
+  ProxyFixture fixture;
   config_feed::FollowerOptions options;
   options.self = "p1";
   options.nearby = {"127.0.0.1:1"};
   options.scope.services = {"plan-1", "plan-7"};
   config_feed::Follower follower(options);
   NoSink sink;
-  FeedClient settings(rig.loop, rig.log, follower, "p1", sink);
+  FeedClient settings(fixture.loop, fixture.log, follower, "p1", sink);
   std::string all = settings.StatusJson() + "\n";
   CHECK(Golden("console_settings.txt", all) == all);
 }
--- a/tests/net/answer_delivery_test.cpp
+++ b/tests/net/answer_delivery_test.cpp
@@ -1,6 +1,5 @@
-// Each request that the proxy has taken ends in one whole answer: however slowly its client takes it,
-// whatever the upstream server does half-way, and also when the connection or the process ends right behind
-// it.
+// Each accepted request ends in one complete response: with slow clients, with servers that fail during the
+// response, and when the connection or the process ends right after it.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -15,233 +14,234 @@
 constexpr int kSmallBuffer = 4096;
 constexpr std::size_t kPiece = 4096;
 
-// A long answer's body: much more than small buffers hold.
+// A body that is much larger than small buffers.
 std::string LongBody() { return std::string(60'000, 'x') + "z"; }
 
-// From now on clients connect through a listener whose connections' kernel buffers hold little of an answer,
-// so that the proxy keeps the rest until the client has taken some.
-void ServeThroughSmallBuffers(Rig& rig) {
-  Host host;
+// Replaces the listening socket by one with small kernel send buffers, so that the proxy has to keep most of
+// a response until the client reads.
+void ServeThroughSmallBuffers(ProxyFixture& fixture) {
+  TestServer host;
   REQUIRE(::setsockopt(host.fd(), SOL_SOCKET, SO_SNDBUF, &kSmallBuffer, sizeof kSmallBuffer) == 0);
-  rig.listener.StopAccepting();
-  rig.listener.Inherit(::dup(host.fd()));
+  fixture.listener.StopAccepting();
+  fixture.listener.Inherit(::dup(host.fd()));
 }
 
-bool IsWhole(const Peer& client, std::string_view body) {
+bool IsWhole(const TestConnection& client, std::string_view body) {
   return client.text.find(body) != std::string::npos;
 }
 
-// Takes a piece of the answer each `pause` until it is whole or the connection has ended, and returns how
+// Reads a piece of the response every `pause` until it is complete or the connection is closed. Returns how
 // long that took.
-Micros TakeSteadily(Rig& rig, Peer& client, std::string_view body, Micros pause) {
-  Micros began = rig.loop.Now();
+Micros TakeSteadily(ProxyFixture& fixture, TestConnection& client, std::string_view body, Micros pause) {
+  Micros began = fixture.loop.Now();
   Micros next = began;
-  rig.Until("the answer is whole or cut", [&] {
-    if (rig.loop.Now() >= next) {
-      client.Take(kPiece);
-      next = rig.loop.Now() + pause;
+  fixture.WaitUntil("the response is complete or truncated", [&] {
+    if (fixture.loop.Now() >= next) {
+      client.Receive(kPiece);
+      next = fixture.loop.Now() + pause;
     }
-    return client.ended || IsWhole(client, body);
+    return client.closed || IsWhole(client, body);
   });
-  return rig.loop.Now() - began;
+  return fixture.loop.Now() - began;
 }
 
-// ---- A client that takes its answer slowly ----
+// ---- Slow clients ----
 
-// Were the time counted from the start of writing, the proxy itself would end an answer half given, which is
-// a lost request. The client never waits as long as the time allowed between two pieces, but far longer in
-// all.
-TEST_CASE("a client that takes its answer slowly but steadily is given the whole of it") {
+// If the write timeout ran from the start of writing, the proxy would truncate the response. The client never
+// pauses for as long as the timeout, but takes far longer in total.
+TEST_CASE("a client that reads slowly but steadily gets the complete response") {
   constexpr Micros kWriteFor = 1'000 * kMs;
-  Rig rig(Rules(), kBound, 64, 8, 64, false, kWriteFor);
-  ServeThroughSmallBuffers(rig);
-  Host worker;
-  rig.Know({&worker});
-  Peer client = Peer::Dial(rig.listener.port(), kSmallBuffer);
-  client.Say(Check("a1"));
-  rig.Request(worker, "a1").Say(Answer(200, LongBody()));
-  Micros took = TakeSteadily(rig, client, LongBody(), kWriteFor / 8);
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kWriteFor);
+  ServeThroughSmallBuffers(fixture);
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection client = TestConnection::Connect(fixture.listener.port(), kSmallBuffer);
+  client.Send(SafeRequest("a1"));
+  fixture.WaitForRequest(server, "a1").Send(Response(200, LongBody()));
+  Micros took = TakeSteadily(fixture, client, LongBody(), kWriteFor / 8);
   CHECK(IsWhole(client, LongBody()));
-  CHECK(took > kWriteFor);  // or it would not have shown anything
+  CHECK(took > kWriteFor);  // otherwise the test would prove nothing
 }
 
-// Such a client would otherwise hold one of the proxy's connections for good.
-TEST_CASE("a client that takes nothing of its answer is cut off, and can tell") {
+// Otherwise such a client would hold a connection forever.
+TEST_CASE("a client that reads nothing is disconnected, and can detect it") {
   constexpr Micros kWriteFor = 100 * kMs;
-  Rig rig(Rules(), kBound, 64, 8, 64, false, kWriteFor);
-  ServeThroughSmallBuffers(rig);
-  Host worker;
-  rig.Know({&worker});
-  Peer client = Peer::Dial(rig.listener.port(), kSmallBuffer);
-  client.Say(Check("a1"));
-  rig.Request(worker, "a1").Say(Answer(200, LongBody()));
-  rig.Until("its connection is closed", [&] { return rig.listener.connections() == 0; });
-  rig.Until("it has met the end", [&] { return client.Ended(); });
-  CHECK(client.Has("Content-Length: " + std::to_string(LongBody().size()) + "\r\n"));
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kWriteFor);
+  ServeThroughSmallBuffers(fixture);
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection client = TestConnection::Connect(fixture.listener.port(), kSmallBuffer);
+  client.Send(SafeRequest("a1"));
+  fixture.WaitForRequest(server, "a1").Send(Response(200, LongBody()));
+  fixture.WaitUntil("the connection is closed", [&] { return fixture.listener.connections() == 0; });
+  fixture.WaitUntil("the client has noticed the close", [&] { return client.IsClosed(); });
+  CHECK(client.HasReceived("Content-Length: " + std::to_string(LongBody().size()) + "\r\n"));
   CHECK_FALSE(IsWhole(client, LongBody()));
 }
 
-// The proxy has written all of the answer, and its kernel still holds most of it. Were the connection closed
-// then, as one that lingers or is idle, the client's next bytes would meet a closed socket: the kernel resets
-// it and drops the rest.
-TEST_CASE("an answer that the kernel still holds is not lost to what its client sends meanwhile") {
+// The proxy has written the whole response and its kernel still holds most of it. If the connection were
+// closed by the linger or idle timeout, the client's next bytes would cause a reset and the rest would be
+// lost.
+TEST_CASE("a response in the kernel's buffer is not lost when the client sends data meanwhile") {
   constexpr Micros kLingerFor = 600 * kMs;
-  constexpr Micros kIdleFor = 2'100 * kMs;  // the acceptor's own
+  constexpr Micros kIdleFor = 2'100 * kMs;  // of the listener
   bool last = false;
-  SUBCASE("a last answer, on a connection that is to end") { last = true; }
-  SUBCASE("an answer on a connection that is kept") { last = false; }
+  SUBCASE("the last response on a connection") { last = true; }
+  SUBCASE("a response on a connection that stays open") { last = false; }
   const Micros ends_after = last ? kLingerFor : kIdleFor;
-  Rig rig(Rules(), kBound, 64, 8, 64, false, kBound, kLingerFor);
-  Host worker;
-  rig.Know({&worker});
-  Peer client = Peer::Dial(rig.listener.port(), kSmallBuffer);
-  client.Say(Check("a1"));
-  Peer& at = rig.Request(worker, "a1");
-  if (last) rig.listener.Drain(rig.loop.Now() + kBound);
-  at.Say(Answer(200, LongBody()));
-  const Micros says_at = rig.loop.Now() + ends_after + ends_after / 4;
-  bool said = false;
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kBound, kLingerFor);
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection client = TestConnection::Connect(fixture.listener.port(), kSmallBuffer);
+  client.Send(SafeRequest("a1"));
+  TestConnection& at = fixture.WaitForRequest(server, "a1");
+  if (last) fixture.listener.Drain(fixture.loop.Now() + kBound);
+  at.Send(Response(200, LongBody()));
+  const Micros says_at = fixture.loop.Now() + ends_after + ends_after / 4;
+  bool log = false;
   Micros next = 0;
-  rig.Until("the answer is whole or cut", [&] {
-    Micros now = rig.loop.Now();
+  fixture.WaitUntil("the response is complete or truncated", [&] {
+    Micros now = fixture.loop.Now();
     if (now >= next) {
-      client.Take(kPiece);
-      next = now + (said ? 0 : ends_after / 8);
+      client.Receive(kPiece);
+      next = now + (log ? 0 : ends_after / 8);
     }
-    if (!said && now >= says_at) {
+    if (!log && now >= says_at) {
       CHECK_FALSE(IsWhole(client, LongBody()));
-      client.Say("GET /up HTTP/1.1\r\n\r\n");
-      said = true;
+      client.Send("GET /up HTTP/1.1\r\n\r\n");
+      log = true;
     }
-    return client.ended || IsWhole(client, LongBody());
+    return client.closed || IsWhole(client, LongBody());
   });
-  CHECK(said);
+  CHECK(log);
   CHECK(IsWhole(client, LongBody()));
-  CHECK(client.Has("Connection: close\r\n") == last);
-  if (!last) return rig.Hears(client, "\r\n\r\nup");
-  rig.Until("the connection goes once the client has it all",
-            [&] { return rig.listener.connections() == 0; });
+  CHECK(client.HasReceived("Connection: close\r\n") == last);
+  if (!last) return fixture.WaitForData(client, "\r\n\r\nup");
+  fixture.WaitUntil("the connection is closed after the client has everything",
+                    [&] { return fixture.listener.connections() == 0; });
 }
 
-// ---- An upstream server that stops half-way ----
+// ---- Servers that fail during the response ----
 
-// What the server had begun is of no use to the client, and nothing may be tried again or there is no time
-// for it: the request still ends in one answer, by its deadline.
-TEST_CASE("an answer without length that is cut ends in one final answer when no further attempt may serve") {
+// The partial response is useless, and a retry is not permitted or there is no time for it. The request must
+// still end in one response by its deadline.
+TEST_CASE("a truncated response without length ends in one final response if no retry is possible") {
   enum class Why { kUnsafe, kNoMoreAttempts, kNextIsSilent, kPastDeadline };
   constexpr int kWithin = 1'000;  // milliseconds
   for (Why why : {Why::kUnsafe, Why::kNoMoreAttempts, Why::kNextIsSilent, Why::kPastDeadline}) {
     CAPTURE(static_cast<int>(why));
     bool at_once = why == Why::kUnsafe || why == Why::kNoMoreAttempts;
-    balancer::Settings rules = Rules();
-    if (why == Why::kNoMoreAttempts) rules.max_attempts = 1;
-    Rig rig(rules);
-    Host worker, other;
-    rig.Know({&worker});
-    Peer client = rig.Client();
-    client.Say(why == Why::kUnsafe ? Pay("a1") : at_once ? Check("a1") : CheckWithin("a1", kWithin));
-    Peer& at = rig.Request(worker, "a1");
-    rig.Know({&other}, EndpointList::Kind::kDelta);
-    at.Say("HTTP/1.1 200 OK\r\n\r\nmade so far");
-    at.Abort();
-    Micros cut = rig.loop.Now();
-    if (why == Why::kNextIsSilent) rig.Request(other, "a1");
-    // The cut and the deadline are met in one round.
-    while (why == Why::kPastDeadline && rig.loop.Now() < cut + kWithin * kMs) ::poll(nullptr, 0, 1);
-    rig.Hears(client, "\r\n\r\n");
-    if (at_once) CHECK(rig.loop.Now() < cut + 5'000 * kMs);  // its deadline is 15 s off
-    Settles(rig);
-    bool final = client.Has("HTTP/1.1 502 ") || client.Has("HTTP/1.1 503 ");
+    balancer::Settings settings = TestSettings();
+    if (why == Why::kNoMoreAttempts) settings.max_attempts = 1;
+    ProxyFixture fixture(settings);
+    TestServer server, other;
+    fixture.SetEndpoints({&server});
+    TestConnection client = fixture.ConnectClient();
+    client.Send(why == Why::kUnsafe ? UnsafeRequest("a1")
+                : at_once           ? SafeRequest("a1")
+                                    : SafeRequestWithTimeout("a1", kWithin));
+    TestConnection& at = fixture.WaitForRequest(server, "a1");
+    fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
+    at.Send("HTTP/1.1 200 OK\r\n\r\nmade so far");
+    at.Reset();
+    Micros cut = fixture.loop.Now();
+    if (why == Why::kNextIsSilent) fixture.WaitForRequest(other, "a1");
+    // The reset and the deadline are processed in the same round.
+    while (why == Why::kPastDeadline && fixture.loop.Now() < cut + kWithin * kMs) ::poll(nullptr, 0, 1);
+    fixture.WaitForData(client, "\r\n\r\n");
+    if (at_once) CHECK(fixture.loop.Now() < cut + 5'000 * kMs);  // its deadline is 15 s away
+    CheckSettled(fixture);
+    bool final = client.HasReceived("HTTP/1.1 502 ") || client.HasReceived("HTTP/1.1 503 ");
     CHECK(final);
     CHECK(client.text.find("HTTP/1.1 ", 9) == std::string::npos);
-    CHECK_FALSE(client.Has("made"));
+    CHECK_FALSE(client.HasReceived("made"));
     if (why != Why::kNextIsSilent) CHECK_FALSE(other.Accept());
   }
 }
 
-// The settings' tick is the room left for the client's side: a failure that leaves at the deadline itself
-// comes too late there. The tick is long here, so that a busy machine does not decide.
-TEST_CASE("the failure of an unsafe request whose only attempt hangs leaves in time for its client") {
+// The clock step of the settings is the margin for the client: a failure sent at the deadline itself would be
+// too late. It is long here, so that the load of the machine does not matter.
+TEST_CASE("the failure of an unsafe request whose attempt hangs is sent in time") {
   constexpr int kWithin = 1'000;  // milliseconds
   for (bool begun : {false, true}) {
     CAPTURE(begun);
-    balancer::Settings rules = Rules();
-    rules.clock_step = 500 * kMs;
-    Rig rig(rules);
-    Host worker, other;
-    rig.Know({&worker});
-    Peer client = rig.Client();
-    client.Say(PayWithin("a1", kWithin));
-    Micros deadline = rig.loop.Now() + kWithin * kMs;
-    Peer& at = rig.Request(worker, "a1");
-    rig.Know({&other}, EndpointList::Kind::kDelta);
-    if (begun) at.Say("HTTP/1.1 200 OK\r\n\r\nmade so far");
-    rig.Hears(client, "HTTP/1.1 502 ");
-    CHECK(rig.loop.Now() < deadline);
-    CHECK_FALSE(client.Has("made"));
-    Settles(rig);
+    balancer::Settings settings = TestSettings();
+    settings.clock_step = 500 * kMs;
+    ProxyFixture fixture(settings);
+    TestServer server, other;
+    fixture.SetEndpoints({&server});
+    TestConnection client = fixture.ConnectClient();
+    client.Send(UnsafeRequestWithTimeout("a1", kWithin));
+    Micros deadline = fixture.loop.Now() + kWithin * kMs;
+    TestConnection& at = fixture.WaitForRequest(server, "a1");
+    fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
+    if (begun) at.Send("HTTP/1.1 200 OK\r\n\r\nmade so far");
+    fixture.WaitForData(client, "HTTP/1.1 502 ");
+    CHECK(fixture.loop.Now() < deadline);
+    CHECK_FALSE(client.HasReceived("made"));
+    CheckSettled(fixture);
     CHECK_FALSE(other.Accept());
   }
 }
 
-// ---- A connection that ends with its answer ----
+// ---- Connections that end with their response ----
 
-// A request that is here whole behind the one being answered has been taken: an answer that asks its client
-// to leave would end the connection without one for it.
-TEST_CASE("a request that waits whole behind another is answered before the connection ends") {
+// A complete pipelined request has been accepted. A response with Connection: close would leave it
+// unanswered.
+TEST_CASE("a complete pipelined request is answered before the connection ends") {
   enum class Ends { kDrain, kLameDuck, kNoPlace };
   Ends how = Ends::kDrain;
-  SUBCASE("the process leaves") { how = Ends::kDrain; }
-  SUBCASE("a lame duck") { how = Ends::kLameDuck; }
-  SUBCASE("the clients' places are all in use") { how = Ends::kNoPlace; }
-  // Either the proxy has read it when it answers the one before, or only the kernel has it.
+  SUBCASE("the process shuts down") { how = Ends::kDrain; }
+  SUBCASE("lame-duck mode") { how = Ends::kLameDuck; }
+  SUBCASE("all connection slots are in use") { how = Ends::kNoPlace; }
+  // The proxy has either read it before the previous response, or it is only in the kernel.
   for (bool read : {true, false}) {
     CAPTURE(read);
-    Rig rig(Rules(), kBound, 64, 8, how == Ends::kNoPlace ? 1 : 64);
-    Host worker;
-    rig.Know({&worker});
-    Peer busy = rig.Client();
-    busy.Say(Check("b1"));
-    rig.Request(worker, "b1");
-    Peer client = rig.Client();
-    client.Say(Check("a1") + (read ? Check("a2") : ""));
-    Peer& at = rig.Request(worker, "a1");
-    if (how == Ends::kDrain) rig.listener.Drain(rig.loop.Now() + kBound);
-    if (how == Ends::kLameDuck) rig.listener.Lameduck(true);
-    at.Say(Answer(200, "one"));
-    if (!read) client.Say(Check("a2"));  // told of after the answer
-    rig.Request(worker, "a2").Say(Answer(200, "two"));
-    rig.Hears(client, "two");
-    CHECK(client.Has("Connection: close\r\n"));
+    ProxyFixture fixture(TestSettings(), kBound, 64, 8, how == Ends::kNoPlace ? 1 : 64);
+    TestServer server;
+    fixture.SetEndpoints({&server});
+    TestConnection busy = fixture.ConnectClient();
+    busy.Send(SafeRequest("b1"));
+    fixture.WaitForRequest(server, "b1");
+    TestConnection client = fixture.ConnectClient();
+    client.Send(SafeRequest("a1") + (read ? SafeRequest("a2") : ""));
+    TestConnection& at = fixture.WaitForRequest(server, "a1");
+    if (how == Ends::kDrain) fixture.listener.Drain(fixture.loop.Now() + kBound);
+    if (how == Ends::kLameDuck) fixture.listener.SetLameDuck(true);
+    at.Send(Response(200, "one"));
+    if (!read) client.Send(SafeRequest("a2"));  // noticed after the response
+    fixture.WaitForRequest(server, "a2").Send(Response(200, "two"));
+    fixture.WaitForData(client, "two");
+    CHECK(client.HasReceived("Connection: close\r\n"));
     CHECK(client.text.find("Connection: close\r\n") > client.text.find("one"));
   }
 }
 
-// Its first request is on the way then, and would meet a closed connection.
-TEST_CASE("a connection that has just been made is still served when the idle ones are closed") {
+// Its first request may be on the way.
+TEST_CASE("a new connection is still served when idle ones are closed") {
   bool lame_duck = false;
-  SUBCASE("the process leaves") { lame_duck = false; }
-  SUBCASE("a lame duck") { lame_duck = true; }
-  Rig rig;
-  Host worker;
-  rig.Know({&worker});
-  Peer client = rig.Client();
+  SUBCASE("the process shuts down") { lame_duck = false; }
+  SUBCASE("lame-duck mode") { lame_duck = true; }
+  ProxyFixture fixture;
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection client = fixture.ConnectClient();
   if (lame_duck) {
-    rig.Until("it is accepted", [&] { return rig.listener.connections() == 1; });
-    rig.listener.Lameduck(true);
+    fixture.WaitUntil("the connection is accepted", [&] { return fixture.listener.connections() == 1; });
+    fixture.listener.SetLameDuck(true);
   } else {
-    rig.listener.Close();
-    REQUIRE(rig.listener.closed());
+    fixture.listener.Close();
+    REQUIRE(fixture.listener.closed());
   }
-  client.Say(Check("a1"));
-  rig.Request(worker, "a1").Say(Answer(200, "one"));
-  rig.Hears(client, "one");
-  CHECK(client.Has("Connection: close\r\n"));
+  client.Send(SafeRequest("a1"));
+  fixture.WaitForRequest(server, "a1").Send(Response(200, "one"));
+  fixture.WaitForData(client, "one");
+  CHECK(client.HasReceived("Connection: close\r\n"));
 }
 
-// ---- The way out ----
+// ---- Shutdown ----
 
-// The program's port on a socket of the test's whose connections' buffers are small.
+// A listening socket for the program with small send buffers.
 struct SmallSocket {
   SmallSocket() {
     REQUIRE(::setsockopt(host.fd(), SOL_SOCKET, SO_SNDBUF, &kSmallBuffer, sizeof kSmallBuffer) == 0);
@@ -249,53 +249,53 @@
   std::vector<std::pair<std::string, std::string>> Env() const {
     return {{"BALANCER_SOCKET_FD", std::to_string(host.fd())}};
   }
-  Host host{true};
+  TestServer host{true};
 };
 
-void UntilUp(Rig& outside, Program& program) {
-  outside.Until("it is up", [&] { return program.Said().find("workers known\n") != std::string::npos; });
+void UntilUp(ProxyFixture& fixture, Program& program) {
+  fixture.WaitUntil("the program is running",
+                    [&] { return program.ReadLog().find("workers known\n") != std::string::npos; });
 }
 
-// The platform ends the process 3.7 s after the signal, whatever deadlines the requests that are open have.
-// The bound is looser than that for the sake of busy machines, and far below the request's own 15 s.
+// The platform kills the process 3.7 s after the signal, regardless of open requests. The bound is larger for
+// the sake of busy machines, and far below the request's timeout of 15 s.
 constexpr Micros kEndsWithin = 6'000 * kMs;
 
-// Killed with the request still open, the process would give it no answer at all.
-TEST_CASE("a request whose deadline lies behind the process's end is answered before it") {
-  Host worker;
-  Program program(ProgramConfig(0, worker.port));
-  Rig outside;  // for its bounded waits only
-  std::uint16_t port = PortAfter(outside, program, " on port ");
-  UntilUp(outside, program);
-  Peer client = Peer::Dial(port);
-  client.Say(Check("a1"));
-  outside.Request(worker, "a1");  // which never answers
-  Micros signalled = outside.loop.Now();
+// If the process were killed with the request open, there would be no response.
+TEST_CASE("a request with a deadline after the end of the process is answered before it") {
+  TestServer server;
+  Program program(ProgramConfig(0, server.port));
+  ProxyFixture fixture;  // only for its bounded waits
+  std::uint16_t port = ReadPort(fixture, program, " on port ");
+  UntilUp(fixture, program);
+  TestConnection client = TestConnection::Connect(port);
+  client.Send(SafeRequest("a1"));
+  fixture.WaitForRequest(server, "a1");  // never answers
+  Micros signalled = fixture.loop.Now();
   program.Signal(SIGTERM);
-  outside.Hears(client, "\r\n\r\n");
-  CHECK(client.Has("HTTP/1.1 502 "));
-  CHECK(client.Has("Connection: close\r\n"));
+  fixture.WaitForData(client, "\r\n\r\n");
+  CHECK(client.HasReceived("HTTP/1.1 502 "));
+  CHECK(client.HasReceived("Connection: close\r\n"));
   CHECK(program.Wait() == 0);
-  CHECK(outside.loop.Now() < signalled + kEndsWithin);
+  CHECK(fixture.loop.Now() < signalled + kEndsWithin);
 }
 
-// A client that takes nothing of its answer would otherwise hold the process until the platform kills it, and
-// with it what else the process has to put in order.
-TEST_CASE("a client that takes nothing of its answer does not hold the process on its way out") {
-  Host worker;
+// Otherwise such a client would delay the exit until the platform kills the process.
+TEST_CASE("a client that reads nothing does not delay the shutdown") {
+  TestServer server;
   SmallSocket socket;
-  Program program(ProgramConfig(1, worker.port), socket.Env());
-  Rig outside;  // for its bounded waits only
-  UntilUp(outside, program);
-  Peer client = Peer::Dial(socket.host.port, kSmallBuffer);
-  client.Say(Check("a1"));
-  Peer& at = outside.Request(worker, "a1");
-  at.Say(Answer(200, LongBody()));
-  outside.Until("the answer has begun", [&] { return client.Take(1), !client.text.empty(); });
-  Micros signalled = outside.loop.Now();
+  Program program(ProgramConfig(1, server.port), socket.Env());
+  ProxyFixture fixture;  // only for its bounded waits
+  UntilUp(fixture, program);
+  TestConnection client = TestConnection::Connect(socket.host.port, kSmallBuffer);
+  client.Send(SafeRequest("a1"));
+  TestConnection& at = fixture.WaitForRequest(server, "a1");
+  at.Send(Response(200, LongBody()));
+  fixture.WaitUntil("the response has begun", [&] { return client.Receive(1), !client.text.empty(); });
+  Micros signalled = fixture.loop.Now();
   program.Signal(SIGTERM);
   CHECK(program.Wait() == 0);
-  CHECK(outside.loop.Now() < signalled + kEndsWithin);
+  CHECK(fixture.loop.Now() < signalled + kEndsWithin);
 }
 
 }  // namespace
