--- a/tests/net/deadline_test.cpp
+++ b/tests/net/deadline_test.cpp
@@ -1,4 +1,4 @@
-// A request is answered by its deadline, whatever else happens in the process around that moment.
+// Requests are answered by their deadlines, whatever else happens at that time.
 #include <string>
 
 #include "downstream/receive_times.hpp"
@@ -7,84 +7,85 @@
 namespace dappletiller::testing {
 namespace {
 
-// The module keeps all its alarms behind one timer. An event that is handled when that timer is due but has
-// not run yet answers the first request and asks for the second one's wake-up. Were that wake-up dropped in
-// favour of the one that is due, the second request would stay unanswered until some other event came along.
-TEST_CASE("a held request is answered at its deadline, whatever event runs the alarm before it") {
+// The module uses a single timer. An event that is handled when the timer is due but has not run yet answers
+// the first request and schedules the wake-up for the second. If that wake-up were dropped in favour of the
+// due one, the second request would stay unanswered until another event.
+TEST_CASE("a queued request is answered at its deadline, whatever event runs the earlier timer") {
   enum class Other { kList, kRequest, kClientLeaves };
   Other other = Other::kList;
-  SUBCASE("a list of servers") { other = Other::kList; }
+  SUBCASE("an endpoint list") { other = Other::kList; }
   SUBCASE("a request") { other = Other::kRequest; }
-  SUBCASE("a client that leaves") { other = Other::kClientLeaves; }
+  SUBCASE("a client that disconnects") { other = Other::kClientLeaves; }
   constexpr int kFirstWithin = 100;   // milliseconds
-  constexpr int kSecondWithin = 300;  // before the module looks at anything else that is held
-  Rig rig;                            // no server is known: requests are held, and nothing else happens
-  Peer first = rig.Client();
-  Peer second = rig.Client();
-  Peer third = rig.Client();
-  if (other == Other::kClientLeaves) third.Say(Check("third"));
-  rig.Until("all are connected", [&] { return rig.listener.connections() == 3; });
-  first.Say(CheckWithin("first", kFirstWithin));
-  second.Say(CheckWithin("second", kSecondWithin));
+  constexpr int kSecondWithin = 300;  // before any other timer of the module
+  ProxyFixture fixture;               // no server is known, so requests are queued
+  TestConnection first = fixture.ConnectClient();
+  TestConnection second = fixture.ConnectClient();
+  TestConnection third = fixture.ConnectClient();
+  if (other == Other::kClientLeaves) third.Send(SafeRequest("third"));
+  fixture.WaitUntil("all are connected", [&] { return fixture.listener.connections() == 3; });
+  first.Send(SafeRequestWithTimeout("first", kFirstWithin));
+  second.Send(SafeRequestWithTimeout("second", kSecondWithin));
   std::size_t held = other == Other::kClientLeaves ? 3 : 2;
-  rig.Until("they are held", [&] { return rig.dispatcher.open_requests() == held; });
-  // What happens next lies in the kernel when the first deadline's timer is due.
-  if (other == Other::kRequest) third.Say(Check("third"));
+  fixture.WaitUntil("the requests are queued", [&] { return fixture.dispatcher.open_requests() == held; });
+  // The next event is in the kernel when the first deadline's timer is due.
+  if (other == Other::kRequest) third.Send(SafeRequest("third"));
   if (other == Other::kClientLeaves) third.Close();
-  Micros due_by = rig.loop.Now() + kFirstWithin * kMs;
-  WaitOutsideTheLoop("the first deadline has passed", [&] { return rig.loop.Now() > due_by; });
-  if (other == Other::kList) rig.Know({}, EndpointList::Kind::kSnapshot);
-  rig.Hears(first, "HTTP/1.1 503 ");
-  rig.Hears(second, "HTTP/1.1 503 ");
+  Micros due_by = fixture.loop.Now() + kFirstWithin * kMs;
+  WaitWithoutLoop("the first deadline has passed", [&] { return fixture.loop.Now() > due_by; });
+  if (other == Other::kList) fixture.SetEndpoints({}, EndpointList::Kind::kSnapshot);
+  fixture.WaitForData(first, "HTTP/1.1 503 ");
+  fixture.WaitForData(second, "HTTP/1.1 503 ");
 }
 
-// Counted from its first byte, a request that is written slowly would be out of time when it is whole.
-TEST_CASE("the time of a request that is written slowly runs from its last byte") {
+// If the timeout ran from the first byte, a slowly written request would have expired when it is complete.
+TEST_CASE("the timeout of a slowly written request runs from its last byte") {
   constexpr int kWithin = 300;  // milliseconds
-  const std::string request = CheckWithin("slow", kWithin);
-  Rig rig;
-  Host server;
-  rig.Know({&server});
-  Peer client = rig.Client();
-  client.Say(request.substr(0, request.size() / 2));
-  Micros written_until = rig.loop.Now() + 2 * kWithin * kMs;
-  rig.Until("it was written for longer than it may take", [&] { return rig.loop.Now() > written_until; });
-  client.Say(request.substr(request.size() / 2));
-  rig.Request(server, "slow").Say(Answer(200, "in time"));
-  rig.Hears(client, "in time");
+  const std::string request = SafeRequestWithTimeout("slow", kWithin);
+  ProxyFixture fixture;
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection client = fixture.ConnectClient();
+  client.Send(request.substr(0, request.size() / 2));
+  Micros written_until = fixture.loop.Now() + 2 * kWithin * kMs;
+  fixture.WaitUntil("more than its timeout has passed", [&] { return fixture.loop.Now() > written_until; });
+  client.Send(request.substr(request.size() / 2));
+  fixture.WaitForRequest(server, "slow").Send(Response(200, "in time"));
+  fixture.WaitForData(client, "in time");
 }
 
-// Counted from the answer before it, a request that waits behind another would be answered after its time.
-TEST_CASE("the time of a request behind another one on its connection runs while it waits there") {
+// If the timeout ran from the previous response, a pipelined request would be answered too late.
+TEST_CASE("the timeout of a pipelined request runs while it waits") {
   constexpr int kWithin = 200;  // milliseconds
-  // Of another class than the first: one with far less time than others of its class is taken for a late try.
-  std::string second = PayWithin("second", kWithin);
+  // Of another class: a request with far less time than others of its class counts as a late retry.
+  std::string second = UnsafeRequestWithTimeout("second", kWithin);
   bool in_pieces = false;
   SUBCASE("received with the first") {}
   SUBCASE("received in two pieces after it") { in_pieces = true; }
-  Rig rig;  // no server is known yet: the first request is held
-  Host server;
-  Peer client = rig.Client();
-  client.Say(Check("first") + (in_pieces ? "" : second));
-  rig.Until("the first is held", [&] { return rig.dispatcher.open_requests() == 1; });
+  ProxyFixture fixture;  // no server is known yet, so the first request is queued
+  TestServer server;
+  TestConnection client = fixture.ConnectClient();
+  client.Send(SafeRequest("first") + (in_pieces ? "" : second));
+  fixture.WaitUntil("the first request is queued", [&] { return fixture.dispatcher.open_requests() == 1; });
   if (in_pieces) {
-    client.Say(second.substr(0, 20));
-    rig.loop.RunOnce(0);
-    client.Say(second.substr(20));
+    client.Send(second.substr(0, 20));
+    fixture.loop.RunOnce(0);
+    client.Send(second.substr(20));
   }
-  // The loop is at work meanwhile: it reads what comes behind the first request.
-  Micros over_at = rig.loop.Now() + 2 * kWithin * kMs;
-  rig.Until("the second request's time is over", [&] { return rig.loop.Now() > over_at; });
-  rig.Know({&server});
-  rig.Request(server, "first").Say(Answer(200, "for the first"));
-  rig.Hears(client, "for the first");
-  rig.Hears(client, "HTTP/1.1 503 ");
-  Settles(rig);
+  // The event loop runs and reads the data behind the first request.
+  Micros over_at = fixture.loop.Now() + 2 * kWithin * kMs;
+  fixture.WaitUntil("the second request's timeout is over", [&] { return fixture.loop.Now() > over_at; });
+  fixture.SetEndpoints({&server});
+  fixture.WaitForRequest(server, "first").Send(Response(200, "for the first"));
+  fixture.WaitForData(client, "for the first");
+  fixture.WaitForData(client, "HTTP/1.1 503 ");
+  CheckSettled(fixture);
   server.Accept();
-  for (Peer& peer : server.peers) CHECK_FALSE(peer.Has("Request-Id: second"));
+  for (TestConnection& connection : server.connections)
+    CHECK_FALSE(connection.HasReceived("Request-Id: second"));
 }
 
-TEST_CASE("receive times: the time of a message is that of the read that brought its last byte") {
+TEST_CASE("receive times: a message has the time of the read with its last byte") {
   ReceiveTimes times;
   times.Restart(10, 100);
   CHECK(times.Take(10) == 100);
@@ -95,30 +96,30 @@
   CHECK(times.Take(8) == 200);
   CHECK(times.Take(5) == 300);  // ends with the second read
   CHECK(times.Take(1) == 400);
-  times.Restart(9, 500);  // the rest of the message under way
+  times.Restart(9, 500);  // the rest of the current message
   CHECK(times.Take(9) == 500);
 }
 
-TEST_CASE("receive times: where framing is given back, the newest bytes keep their time") {
+TEST_CASE("receive times: when framing is discarded, the latest bytes keep their time") {
   ReceiveTimes times;
   times.Add(100, 100, 100);
-  times.Add(20, 30, 200);  // 90 bytes of framing were given back
+  times.Add(20, 30, 200);  // 90 bytes of framing were discarded
   CHECK(times.Take(10) == 100);
   CHECK(times.Take(20) == 200);
-  times.Add(20, 5, 300);  // more than was held before
+  times.Add(20, 5, 300);  // more bytes than are kept
   CHECK(times.Take(5) == 300);
   CHECK(times.reads() == 0);
 }
 
-TEST_CASE("receive times: many small reads take bounded memory, and never count as later than they were") {
+TEST_CASE("receive times: many small reads use bounded memory and never count as later than they were") {
   ReceiveTimes times;
-  const Micros reads = 4 * ReceiveTimes::kMostReads;
+  const Micros reads = 4 * ReceiveTimes::kMaxReads;
   for (Micros at = 1; at <= reads; ++at) times.Add(1, static_cast<std::size_t>(at), at);
-  CHECK(times.reads() == ReceiveTimes::kMostReads);
+  CHECK(times.reads() == ReceiveTimes::kMaxReads);
   for (Micros at = 1; at <= reads; ++at) {
     Micros taken = times.Take(1);
     CHECK(taken <= at);
-    if (at <= static_cast<Micros>(ReceiveTimes::kMostReads)) CHECK(taken == at);
+    if (at <= static_cast<Micros>(ReceiveTimes::kMaxReads)) CHECK(taken == at);
   }
   CHECK(times.reads() == 0);
 }
--- a/tests/net/late_bytes_test.cpp
+++ b/tests/net/late_bytes_test.cpp
@@ -1,5 +1,5 @@
-// Bytes that come late: a request after its process was told to end, the rest of a request after the time in
-// which it may be written, a second answer to an earlier request.
+// Late data: a request after SIGTERM, the rest of a request after its write timeout, a second response to an
+// earlier request.
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
 
@@ -19,8 +19,8 @@
   REQUIRE(::setsockopt(fd, SOL_SOCKET, which, &bytes, sizeof bytes) == 0);
 }
 
-// The proxy runs in the test's process: this is its end of its one connection to an upstream server.
-int ProxysEnd(const Host& host) {
+// The proxy runs in the test's process: finds its end of its only connection to a server.
+int ProxysEnd(const TestServer& host) {
   int found = -1;
   for (int fd = 0; fd < 1024; ++fd) {
     sockaddr_in to{};
@@ -34,7 +34,7 @@
   return found;
 }
 
-// Bytes that the kernel has from the proxy and the upstream server's kernel has not taken.
+// Bytes written by the proxy that the server's kernel has not acknowledged.
 int Unsent(int fd) {
   int bytes = 0;
   REQUIRE(::ioctl(fd, SIOCOUTQ, &bytes) == 0);
@@ -47,78 +47,79 @@
   return bytes;
 }
 
-constexpr int kSmallBuffer = 4'096;    // a large body does not fit into it
-constexpr int kLargeBuffer = 200'000;  // a large body fits into it whole
+constexpr int kSmallBuffer = 4'096;    // smaller than a large body
+constexpr int kLargeBuffer = 200'000;  // larger than a large body
 constexpr int kMostlyUnsent = 30'000;  // far more than two small buffers hold
 
-// ---- On the way out ----
+// ---- Shutdown ----
 
-// The process must have answered by its own end, which is no sign that a client has tried for long. Were the
-// client's deadline told to the module as cut by that end, a request would look like the late try of one that
-// began long ago: worth nothing any more, and refused at the first sign of waiting, with servers idle.
-TEST_CASE("a request that comes after SIGTERM is sent, also where its class has a long deadline") {
+// During shutdown the process must answer before it ends. If this limit were passed to the module as the
+// client's deadline, requests would look like late retries and be rejected while servers are idle.
+TEST_CASE("a request after SIGTERM is forwarded, even if its class has a long timeout") {
   std::function<std::string(const std::string&)> request;
   SUBCASE("safe") {
-    request = [](const std::string& id) { return Check(id); };
+    request = [](const std::string& id) { return SafeRequest(id); };
   }
   SUBCASE("unsafe") {
-    request = [](const std::string& id) { return Pay(id); };
+    request = [](const std::string& id) { return UnsafeRequest(id); };
   }
-  constexpr Micros kTimeLeft = 3'600 * kMs;  // as the program leaves itself
-  Rig rig;
-  Host one, two;
-  rig.Know({&one, &two});
+  constexpr Micros kTimeLeft = 3'600 * kMs;  // the time that the program allows itself
+  ProxyFixture fixture;
+  TestServer one, two;
+  fixture.SetEndpoints({&one, &two});
   auto serve = [&](const std::string& id) {
-    Peer client = rig.Client();
-    client.Say(request(id));
-    Peer* at = nullptr;
-    rig.Until("it is sent or answered", [&] {
-      for (Host* host : {&one, &two}) {
+    TestConnection client = fixture.ConnectClient();
+    client.Send(request(id));
+    TestConnection* at = nullptr;
+    fixture.WaitUntil("the request is forwarded or answered", [&] {
+      for (TestServer* host : {&one, &two}) {
         host->Accept();
-        for (Peer& peer : host->peers) {
-          if (peer.Has("Request-Id: " + id + "\r\n") && peer.Has("\r\n\r\n")) at = &peer;
+        for (TestConnection& connection : host->connections) {
+          if (connection.HasReceived("Request-Id: " + id + "\r\n") && connection.HasReceived("\r\n\r\n"))
+            at = &connection;
         }
       }
-      return at != nullptr || client.Has("HTTP/1.1 ");
+      return at != nullptr || client.HasReceived("HTTP/1.1 ");
     });
     REQUIRE_MESSAGE(at != nullptr, client.text);
-    at->Say(Answer(200, "body of " + id));
-    rig.Hears(client, "body of " + id);
+    at->Send(Response(200, "body of " + id));
+    fixture.WaitForData(client, "body of " + id);
   };
   for (int i = 0; i < 4; ++i) serve("before" + std::to_string(i));
-  rig.listener.Drain(rig.loop.Now() + kTimeLeft);
+  fixture.listener.Drain(fixture.loop.Now() + kTimeLeft);
   for (int i = 0; i < 4; ++i) serve("after" + std::to_string(i));
-  Settles(rig);
+  CheckSettled(fixture);
 }
 
-TEST_CASE("the program sends a request that comes after SIGTERM, and answers it") {
-  Rig outside;  // only its loop: it gives the time in which all this has to happen
-  Host worker;
-  Program program(ProgramConfig(0, worker.port));
-  std::uint16_t port = PortAfter(outside, program, "on port ");
-  Peer before = Peer::Dial(port);
-  before.Say(Check("before"));
-  outside.Request(worker, "before").Say(Answer(200, "one"));
-  outside.Hears(before, "one");
-  // Begun before, so that its connection stays for it, and whole only after.
-  std::string request = Check("after");
-  Peer client = Peer::Dial(port);
-  client.Say(request.substr(0, 10));
+TEST_CASE("the program forwards a request received after SIGTERM and answers it") {
+  ProxyFixture fixture;  // only for its bounded waits
+  TestServer server;
+  Program program(ProgramConfig(0, server.port));
+  std::uint16_t port = ReadPort(fixture, program, "on port ");
+  TestConnection before = TestConnection::Connect(port);
+  before.Send(SafeRequest("before"));
+  fixture.WaitForRequest(server, "before").Send(Response(200, "one"));
+  fixture.WaitForData(before, "one");
+  // Begins before the signal, so that the connection stays open, and is complete only after it.
+  std::string request = SafeRequest("after");
+  TestConnection client = TestConnection::Connect(port);
+  client.Send(request.substr(0, 10));
   program.Signal(SIGTERM);
-  outside.Until("the program is leaving",
-                [&] { return program.Said().find("leaving: ") != std::string::npos; });
-  client.Say(request.substr(10));
-  Peer* at = nullptr;
-  outside.Until("it is sent or answered", [&] {
-    worker.Accept();
-    for (Peer& peer : worker.peers) {
-      if (peer.Has("Request-Id: after\r\n") && peer.Has("\r\n\r\n")) at = &peer;
+  fixture.WaitUntil("the shutdown has begun",
+                    [&] { return program.ReadLog().find("leaving: ") != std::string::npos; });
+  client.Send(request.substr(10));
+  TestConnection* at = nullptr;
+  fixture.WaitUntil("the request is forwarded or answered", [&] {
+    server.Accept();
+    for (TestConnection& connection : server.connections) {
+      if (connection.HasReceived("Request-Id: after\r\n") && connection.HasReceived("\r\n\r\n"))
+        at = &connection;
     }
-    return at != nullptr || client.Has("HTTP/1.1 ");
+    return at != nullptr || client.HasReceived("HTTP/1.1 ");
   });
   REQUIRE_MESSAGE(at != nullptr, client.text);
-  at->Say(Answer(200, "two"));
-  outside.Hears(client, "two");
+  at->Send(Response(200, "two"));
+  fixture.WaitForData(client, "two");
   CHECK(program.Wait() == 0);
 }
 
@@ -130,209 +131,210 @@
          std::to_string(kLargeBody.size()) + "\r\n\r\n" + kLargeBody;
 }
 
-void Pour(Rig& rig, Peer& client, std::string_view bytes) {
-  rig.Until("all is sent", [&] {
-    bytes.remove_prefix(client.Try(bytes));
+void Pour(ProxyFixture& fixture, TestConnection& client, std::string_view bytes) {
+  fixture.WaitUntil("everything is sent", [&] {
+    bytes.remove_prefix(client.TrySend(bytes));
     return bytes.empty();
   });
 }
 
-// A keyed request that failed at one server and is now repeated at a second one, which does not read. What
-// the second one's connection takes at once is up to `room`.
+// A keyed request that failed at one server and is retried at a second one, which does not read. `room` is
+// the send buffer of the connection to the second server.
 struct Repeat {
-  explicit Repeat(int room) : rig(RulesWithWindow()), client(rig.Client()) {
+  explicit Repeat(int room) : fixture(RulesWithWindow()), client(fixture.ConnectClient()) {
     Buffer(second.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
-    rig.Know({&first});
-    Pour(rig, client, LargeOpen("a1"));
-    Peer& at = rig.Request(first, "a1");
-    sent_by = rig.loop.Now();
-    rig.Hears(at, kLastBytes);
-    rig.Know({&second}, EndpointList::Kind::kDelta);
-    rig.Know({&first}, EndpointList::Kind::kDelta, EndpointState::kDraining);
-    at.Say(Answer(500));  // it may have run
-    rig.Until("the repeat is dialled", [&] { return rig.workers.connections() == 2; });
-    WaitOutsideTheLoop("the connection is up", [&] { return second.Accept(); });
+    fixture.SetEndpoints({&first});
+    Pour(fixture, client, LargeOpen("a1"));
+    TestConnection& at = fixture.WaitForRequest(first, "a1");
+    sent_by = fixture.loop.Now();
+    fixture.WaitForData(at, kLastBytes);
+    fixture.SetEndpoints({&second}, EndpointList::Kind::kDelta);
+    fixture.SetEndpoints({&first}, EndpointList::Kind::kDelta, EndpointState::kDraining);
+    at.Send(Response(500));  // it may have run
+    fixture.WaitUntil("the retry is connecting", [&] { return fixture.upstream_pool.connections() == 2; });
+    WaitWithoutLoop("the connection is established", [&] { return second.Accept(); });
     proxys_end = ProxysEnd(second);
     Buffer(proxys_end, SO_SNDBUF, room);
-    rig.Until("it is written as far as it goes", [&] { return Unsent(proxys_end) > 0; });
-    REQUIRE(rig.loop.Now() < sent_by + kWindow);
+    fixture.WaitUntil("as much as possible is written", [&] { return Unsent(proxys_end) > 0; });
+    REQUIRE(fixture.loop.Now() < sent_by + kWindow);
   }
-  Peer& server() { return second.peers[0]; }
-  // The server reads again, and there is room for all the rest, while the loop stands still.
-  void MakeRoom() {
+  TestConnection& server() { return second.connections[0]; }
+  // The server reads and the send buffer is enlarged for the rest, while the event loop does not run.
+  void ReadAndEnlargeBuffer() {
     Buffer(proxys_end, SO_SNDBUF, kLargeBuffer);
-    WaitOutsideTheLoop("what lies in the kernel is read",
-                       [&] { return server().Heard(), Unsent(proxys_end) == 0; });
-    REQUIRE_FALSE(server().Has(kLastBytes));
+    WaitWithoutLoop("the data in the kernel is read",
+                    [&] { return server().Received(), Unsent(proxys_end) == 0; });
+    REQUIRE_FALSE(server().HasReceived(kLastBytes));
   }
   static balancer::Settings RulesWithWindow() {
-    balancer::Settings rules = Rules();
-    rules.classes[2].key_lifetime = kWindow;
-    return rules;
+    balancer::Settings settings = TestSettings();
+    settings.classes[2].key_lifetime = kWindow;
+    return settings;
   }
 
   static constexpr Micros kWindow = 2'000 * kMs;
-  Rig rig;
-  Host first, second;
-  Peer client;
-  Micros sent_by = 0;  // the first attempt, at the latest
+  ProxyFixture fixture;
+  TestServer first, second;
+  TestConnection client;
+  Micros sent_by = 0;  // latest send time of the first attempt
   int proxys_end = -1;
 };
 
-// A process that stood still handles the server's reading before the timer that ends the window. Were the
-// rest written then, the server would run what it may have forgotten to have run before.
+// After a stall, the process handles the writable event before the write timeout. If it wrote the rest, the
+// server might run the request again, since the key has expired.
 TEST_CASE(
-    "the rest of a repeat is not written after its window, though there is room before the timer runs") {
+    "the rest of a retry is not written after the key's lifetime, even if the socket becomes writable "
+    "first") {
   Repeat repeat(kSmallBuffer);
-  WaitOutsideTheLoop("the window is over",
-                     [&] { return repeat.rig.loop.Now() > repeat.sent_by + Repeat::kWindow; });
-  repeat.MakeRoom();
-  repeat.rig.Hears(repeat.client, "HTTP/1.1 502 ");
-  repeat.rig.Until("the server meets the end", [&] { return repeat.server().Ended(); });
-  CHECK_FALSE(repeat.server().Has(kLastBytes));
-  Settles(repeat.rig);
+  WaitWithoutLoop("the key's lifetime is over",
+                  [&] { return repeat.fixture.loop.Now() > repeat.sent_by + Repeat::kWindow; });
+  repeat.ReadAndEnlargeBuffer();
+  repeat.fixture.WaitForData(repeat.client, "HTTP/1.1 502 ");
+  repeat.fixture.WaitUntil("the server sees the close", [&] { return repeat.server().IsClosed(); });
+  CHECK_FALSE(repeat.server().HasReceived(kLastBytes));
+  CheckSettled(repeat.fixture);
 }
 
-// The same for a client whose end lies in the kernel behind the server's reading.
-TEST_CASE("the rest of a request is not written once its client has gone, though there is room for it") {
+// The same for a client whose disconnect is in the kernel behind the writable event.
+TEST_CASE(
+    "the rest of a request is not written after its client has disconnected, even if the socket is "
+    "writable") {
   Repeat repeat(kSmallBuffer);
-  repeat.MakeRoom();
+  repeat.ReadAndEnlargeBuffer();
   repeat.client.Close();
-  repeat.rig.Until("the server meets the end", [&] { return repeat.server().Ended(); });
-  CHECK_FALSE(repeat.server().Has(kLastBytes));
-  Settles(repeat.rig);
+  repeat.fixture.WaitUntil("the server sees the close", [&] { return repeat.server().IsClosed(); });
+  CHECK_FALSE(repeat.server().HasReceived(kLastBytes));
+  CheckSettled(repeat.fixture);
 }
 
-// What the kernel has whole can't be called back: it has been sent, even if the server reads it only after
-// the window, and its answer is the client's.
-TEST_CASE("a repeat that the kernel has whole when its window ends has been sent and goes on") {
+// A request that the kernel has completely cannot be revoked: it counts as sent, even if the server reads it
+// later, and its response is forwarded.
+TEST_CASE("a retry that is completely in the kernel when the key expires counts as sent and continues") {
   Repeat repeat(kLargeBuffer);
   REQUIRE(Unsent(repeat.proxys_end) > kMostlyUnsent);
-  repeat.rig.Until("the window is over",
-                   [&] { return repeat.rig.loop.Now() > repeat.sent_by + Repeat::kWindow; });
-  for (int i = 0; i < 3; ++i) repeat.rig.loop.RunOnce(0);
-  REQUIRE_FALSE(repeat.client.Has("HTTP/1.1 "));
-  repeat.rig.Hears(repeat.server(), kLastBytes);
-  repeat.server().Say(Answer(200, "made of the repeat"));
-  repeat.rig.Hears(repeat.client, "made of the repeat");
-  Settles(repeat.rig);
+  repeat.fixture.WaitUntil("the key's lifetime is over",
+                           [&] { return repeat.fixture.loop.Now() > repeat.sent_by + Repeat::kWindow; });
+  for (int i = 0; i < 3; ++i) repeat.fixture.loop.RunOnce(0);
+  REQUIRE_FALSE(repeat.client.HasReceived("HTTP/1.1 "));
+  repeat.fixture.WaitForData(repeat.server(), kLastBytes);
+  repeat.server().Send(Response(200, "made of the repeat"));
+  repeat.fixture.WaitForData(repeat.client, "made of the repeat");
+  CheckSettled(repeat.fixture);
 }
 
-// An attempt that is called off ends by closing its connection. The kernel still delivers what it has: the
-// server meets the request whole, and the end right behind it.
-TEST_CASE(
-    "a request that the kernel has whole arrives whole after it was called off, and the end behind it") {
+// An attempt is cancelled by closing its connection. The kernel still delivers the data it has: the server
+// receives the complete request, followed by the end of the stream.
+TEST_CASE("a cancelled request that is completely in the kernel is delivered, followed by the close") {
   Repeat repeat(kLargeBuffer);
   REQUIRE(Unsent(repeat.proxys_end) > kMostlyUnsent);
   repeat.client.Close();
-  Settles(repeat.rig);
-  CHECK(repeat.rig.workers.connections() <= 1);  // the first one's may still be there
-  repeat.rig.Until("the server meets the end", [&] { return repeat.server().Ended(); });
-  CHECK(repeat.server().Has(kLastBytes));
+  CheckSettled(repeat.fixture);
+  CHECK(repeat.fixture.upstream_pool.connections() <= 1);  // the one to the first server may still be open
+  repeat.fixture.WaitUntil("the server sees the close", [&] { return repeat.server().IsClosed(); });
+  CHECK(repeat.server().HasReceived(kLastBytes));
 }
 
-// ---- A second answer ----
+// ---- Second responses ----
 
-// Serves one request and leaves its connection to be used again.
-Peer& ServeFirst(Rig& rig, Host& worker, Peer& client) {
-  client.Say(Check("a1"));
-  Peer& at = rig.Request(worker, "a1");
-  at.Say(Answer(200, "made of the first"));
-  rig.Hears(client, "made of the first");
-  Settles(rig);
+// Serves one request; its connection stays open for reuse.
+TestConnection& ServeFirst(ProxyFixture& fixture, TestServer& server, TestConnection& client) {
+  client.Send(SafeRequest("a1"));
+  TestConnection& at = fixture.WaitForRequest(server, "a1");
+  at.Send(Response(200, "made of the first"));
+  fixture.WaitForData(client, "made of the first");
+  CheckSettled(fixture);
   client.text.clear();
   return at;
 }
 
-// Whichever of the two is handled first: the connection is closed for the bytes that nobody asked for, or
-// they are seen when it would be used again.
-TEST_CASE("a second answer that is here before the next request goes out reaches nobody") {
+// The connection is closed because of the unsolicited data, or the data is noticed when the connection would
+// be reused.
+TEST_CASE("a second response received before the next request is sent is dropped") {
   bool request_first = false;
-  SUBCASE("the next request is handled first") { request_first = true; }
-  SUBCASE("the second answer is handled first") { request_first = false; }
-  Rig rig;
-  Host worker;
-  rig.Know({&worker});
-  Peer client = rig.Client();
-  Peer& at = ServeFirst(rig, worker, client);
-  int proxys_end = ProxysEnd(worker);
-  if (request_first) client.Say(Pay("a2"));
-  at.Say(Answer(200, "made of the first"));
-  WaitOutsideTheLoop("the second answer is here", [&] { return Unread(proxys_end) > 0; });
-  if (!request_first) client.Say(Pay("a2"));
-  rig.Request(worker, "a2").Say(Answer(200, "made of the second"));
-  rig.Hears(client, "HTTP/1.1 200 ");
-  rig.Hears(client, "made of the second");
-  CHECK_FALSE(client.Has("made of the first"));
-  Settles(rig);
+  SUBCASE("the next request is processed first") { request_first = true; }
+  SUBCASE("the second response is processed first") { request_first = false; }
+  ProxyFixture fixture;
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection client = fixture.ConnectClient();
+  TestConnection& at = ServeFirst(fixture, server, client);
+  int proxys_end = ProxysEnd(server);
+  if (request_first) client.Send(UnsafeRequest("a2"));
+  at.Send(Response(200, "made of the first"));
+  WaitWithoutLoop("the second response is in the kernel", [&] { return Unread(proxys_end) > 0; });
+  if (!request_first) client.Send(UnsafeRequest("a2"));
+  fixture.WaitForRequest(server, "a2").Send(Response(200, "made of the second"));
+  fixture.WaitForData(client, "HTTP/1.1 200 ");
+  fixture.WaitForData(client, "made of the second");
+  CHECK_FALSE(client.HasReceived("made of the first"));
+  CheckSettled(fixture);
 }
 
-// A server begins a request once its last byte has arrived there, and whatever it sends from then on
-// acknowledges that byte. An answer that is read while the byte is not acknowledged was made for an earlier
-// request; passed on, the client would have what belongs to somebody else.
-TEST_CASE("a second answer that is read before the next request has arrived reaches nobody") {
-  const std::string second = Answer(200, "made of the first");
-  std::size_t early = second.size();  // of its bytes: read before the request has arrived
+// A server begins a request after its last byte, and its response acknowledges that byte. A response that is
+// read while the byte is not acknowledged belongs to an earlier request, possibly of another client.
+TEST_CASE("a second response that is read before the next request has arrived is dropped") {
+  const std::string second = Response(200, "made of the first");
+  std::size_t early = second.size();  // number of its bytes that are read before the request has arrived
   int room = kLargeBuffer;
-  bool rest_waits = false;  // in the proxy, with all that its kernel had taken
-  SUBCASE("whole, and the request is written whole") {}
-  SUBCASE("begun, and the request is written whole") { early = 20; }
-  SUBCASE("begun, and the request is written in part") {
+  bool rest_waits = false;  // the rest of the request is still in the proxy
+  SUBCASE("complete, and the request is completely written") {}
+  SUBCASE("partial, and the request is completely written") { early = 20; }
+  SUBCASE("partial, and the request is partially written") {
     early = 20;
     room = kSmallBuffer;
   }
-  SUBCASE("begun, and the request is written in part, all of which has arrived") {
+  SUBCASE("partial, and the request is partially written and acknowledged") {
     early = 20;
     room = kSmallBuffer;
     rest_waits = true;
   }
-  Rig rig;
-  Host worker;
-  Buffer(worker.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
-  rig.Know({&worker});
-  Peer client = rig.Client();
-  Peer& at = ServeFirst(rig, worker, client);
-  int proxys_end = ProxysEnd(worker);
+  ProxyFixture fixture;
+  TestServer server;
+  Buffer(server.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
+  fixture.SetEndpoints({&server});
+  TestConnection client = fixture.ConnectClient();
+  TestConnection& at = ServeFirst(fixture, server, client);
+  int proxys_end = ProxysEnd(server);
   Buffer(proxys_end, SO_SNDBUF, room);
-  Pour(rig, client, Pay("a2", kLargeBody));
-  rig.Until("it is written as far as it goes",
-            [&] { return Unsent(proxys_end) > (room == kLargeBuffer ? kMostlyUnsent : 0); });
+  Pour(fixture, client, UnsafeRequest("a2", kLargeBody));
+  fixture.WaitUntil("as much as possible is written",
+                    [&] { return Unsent(proxys_end) > (room == kLargeBuffer ? kMostlyUnsent : 0); });
   if (rest_waits) {
-    WaitOutsideTheLoop("what is written is read", [&] { return at.Heard(), Unsent(proxys_end) == 0; });
+    WaitWithoutLoop("the written data is read", [&] { return at.Received(), Unsent(proxys_end) == 0; });
     REQUIRE(at.text.find(kLastBytes) == std::string::npos);
   }
-  at.Say(second.substr(0, early));
-  WaitOutsideTheLoop("the second answer is here", [&] { return Unread(proxys_end) > 0; });
-  rig.Until("the second answer is read", [&] { return Unread(proxys_end) == 0; });
-  for (int i = 0; i < 3; ++i) rig.loop.RunOnce(0);
-  CHECK_FALSE(client.Has("HTTP/1.1 "));
-  rig.Hears(at, kLastBytes);
-  at.Say(second.substr(early) + Answer(200, "made of the second"));
-  rig.Hears(client, "HTTP/1.1 200 ");
-  rig.Hears(client, "made of the second");
-  CHECK_FALSE(client.Has("made of the first"));
-  Settles(rig);
+  at.Send(second.substr(0, early));
+  WaitWithoutLoop("the second response is in the kernel", [&] { return Unread(proxys_end) > 0; });
+  fixture.WaitUntil("the second response is read", [&] { return Unread(proxys_end) == 0; });
+  for (int i = 0; i < 3; ++i) fixture.loop.RunOnce(0);
+  CHECK_FALSE(client.HasReceived("HTTP/1.1 "));
+  fixture.WaitForData(at, kLastBytes);
+  at.Send(second.substr(early) + Response(200, "made of the second"));
+  fixture.WaitForData(client, "HTTP/1.1 200 ");
+  fixture.WaitForData(client, "made of the second");
+  CHECK_FALSE(client.HasReceived("made of the first"));
+  CheckSettled(fixture);
 }
 
-// Nothing follows behind the end of the stream: an attempt that went on waiting would hold its request until
-// the deadline.
-TEST_CASE("a second answer that ends with its stream before the next request has arrived ends the attempt") {
-  Rig rig;
-  Host worker;
-  Buffer(worker.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
-  rig.Know({&worker});
-  Peer client = rig.Client();
-  Peer& at = ServeFirst(rig, worker, client);
-  int proxys_end = ProxysEnd(worker);
+// Nothing can follow the end of the stream, so the attempt must end, not wait until the deadline.
+TEST_CASE(
+    "a second response that ends with its stream before the next request has arrived ends the attempt") {
+  ProxyFixture fixture;
+  TestServer server;
+  Buffer(server.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
+  fixture.SetEndpoints({&server});
+  TestConnection client = fixture.ConnectClient();
+  TestConnection& at = ServeFirst(fixture, server, client);
+  int proxys_end = ProxysEnd(server);
   Buffer(proxys_end, SO_SNDBUF, kLargeBuffer);
-  Micros begun = rig.loop.Now();
-  Pour(rig, client, Pay("a2", kLargeBody));
-  rig.Until("it is written whole", [&] { return Unsent(proxys_end) > kMostlyUnsent; });
-  at.Say("HTTP/1.1 200 OK\r\n\r\nmade of the first");
-  at.EndSending();
-  rig.Hears(client, "HTTP/1.1 502 ");            // it may run there
-  CHECK(rig.loop.Now() < begun + 10'000 * kMs);  // the client's time is 15 s
-  Settles(rig);
+  Micros begun = fixture.loop.Now();
+  Pour(fixture, client, UnsafeRequest("a2", kLargeBody));
+  fixture.WaitUntil("the request is completely written", [&] { return Unsent(proxys_end) > kMostlyUnsent; });
+  at.Send("HTTP/1.1 200 OK\r\n\r\nmade of the first");
+  at.ShutdownWrite();
+  fixture.WaitForData(client, "HTTP/1.1 502 ");      // it may have run
+  CHECK(fixture.loop.Now() < begun + 10'000 * kMs);  // the request's timeout is 15 s
+  CheckSettled(fixture);
 }
 
 }  // namespace
--- a/tests/net/long_body_test.cpp
+++ b/tests/net/long_body_test.cpp
@@ -1,4 +1,4 @@
-// Bodies beyond the usual size pass whole while there is memory for them, and are refused when there is none.
+// Long bodies are forwarded completely while memory for them is available, and rejected otherwise.
 #include <string>
 
 #include "http/body_memory.hpp"
@@ -8,14 +8,14 @@
 namespace dappletiller::testing {
 namespace {
 
-constexpr std::size_t kLong = 100 * 1024;                         // a body beyond the usual size
-constexpr std::size_t kBeyondUsual = kLong - http::kMaxBodySize;  // what it takes of the shared memory
+constexpr std::size_t kLong = 100 * 1024;                         // a long body
+constexpr std::size_t kBeyondUsual = kLong - http::kMaxBodySize;  // its part of the shared memory
 
-Rig RigWithMemory(std::size_t long_body_memory) {
-  return Rig(Rules(), kBound, 64, 8, 64, false, kBound, 1'000 * kMs, long_body_memory);
+ProxyFixture RigWithMemory(std::size_t long_body_memory) {
+  return ProxyFixture(TestSettings(), kBound, 64, 8, 64, false, kBound, 1'000 * kMs, long_body_memory);
 }
 
-// No two parts of it are alike, so that a lost or doubled piece shows.
+// No two parts are equal, so that missing or repeated pieces are detected.
 std::string LongBody(std::size_t size, char first) {
   std::string body;
   for (std::size_t i = 0; body.size() < size; ++i) body += std::string(1, first) + std::to_string(i) + ",";
@@ -23,10 +23,10 @@
   return body;
 }
 
-void SayAll(Rig& rig, Peer& peer, const std::string& bytes) {
+void SayAll(ProxyFixture& fixture, TestConnection& connection, const std::string& bytes) {
   std::string_view left = bytes;
-  rig.Until("all is written", [&] {
-    left.remove_prefix(peer.Try(left));
+  fixture.WaitUntil("everything is written", [&] {
+    left.remove_prefix(connection.TrySend(left));
     return left.empty();
   });
 }
@@ -43,70 +43,71 @@
   return text + "0\r\n\r\n";
 }
 
-TEST_CASE("a long request and a long answer pass whole, however the answer is framed") {
-  Rig rig = RigWithMemory(1024 * 1024);
-  Host server;
-  rig.Know({&server});
+TEST_CASE("a long request and a long response are forwarded completely, with each framing of the response") {
+  ProxyFixture fixture = RigWithMemory(1024 * 1024);
+  TestServer server;
+  fixture.SetEndpoints({&server});
   const std::string question = LongBody(kLong, 'q');
   const std::string reply = LongBody(kLong, 'r');
   std::string answer;
-  SUBCASE("by its length") { answer = Answer(200, reply); }
-  SUBCASE("in chunks") { answer = Chunked(reply); }
-  SUBCASE("until its end") { answer = "HTTP/1.1 200 X\r\n\r\n" + reply; }
-  Peer client = rig.Client();
-  SayAll(rig, client, Pay("a1", question));
-  Peer& upstream = rig.Request(server, "a1");
-  rig.Hears(upstream, question);
-  CHECK(rig.long_bodies->taken() == kBeyondUsual);
-  SayAll(rig, upstream, answer);
+  SUBCASE("Content-Length") { answer = Response(200, reply); }
+  SUBCASE("chunked") { answer = Chunked(reply); }
+  SUBCASE("until the end of the stream") { answer = "HTTP/1.1 200 X\r\n\r\n" + reply; }
+  TestConnection client = fixture.ConnectClient();
+  SayAll(fixture, client, UnsafeRequest("a1", question));
+  TestConnection& upstream = fixture.WaitForRequest(server, "a1");
+  fixture.WaitForData(upstream, question);
+  CHECK(fixture.long_bodies->taken() == kBeyondUsual);
+  SayAll(fixture, upstream, answer);
   if (answer.find("Content-Length") == std::string::npos && answer.find("chunked") == std::string::npos) {
-    upstream.EndSending();
+    upstream.ShutdownWrite();
   }
-  rig.Hears(client, reply);
+  fixture.WaitForData(client, reply);
   CHECK(client.text.rfind("HTTP/1.1 200 ", 0) == 0);
-  Settles(rig);
-  rig.Until("its memory is given back", [&] { return rig.long_bodies->taken() == 0; });
+  CheckSettled(fixture);
+  fixture.WaitUntil("its memory is released", [&] { return fixture.long_bodies->taken() == 0; });
 }
 
-TEST_CASE("a long request is refused while others hold the memory for long bodies, and passes after them") {
-  Rig rig = RigWithMemory(kBeyondUsual);
-  Host server;
-  rig.Know({&server});
-  Peer first = rig.Client();
-  SayAll(rig, first, Pay("first", LongBody(kLong, 'a')));
-  Peer& upstream = rig.Request(server, "first");
-  Peer second = rig.Client();
-  second.Say(Pay("second", LongBody(kLong, 'b')).substr(0, 1000));
-  rig.Hears(second, "HTTP/1.1 503 ");
-  // What is of the usual size passes meanwhile.
-  Host other;
-  rig.Know({&other}, EndpointList::Kind::kDelta);
-  Peer third = rig.Client();
-  third.Say(Check("third"));
-  rig.Request(other, "third").Say(Answer(200, "usual"));
-  rig.Hears(third, "usual");
-  upstream.Say(Answer(200, "for the first"));
-  rig.Hears(first, "for the first");
-  rig.Until("its memory is given back", [&] { return rig.long_bodies->taken() == 0; });
-  Peer fourth = rig.Client();
+TEST_CASE("a long request is rejected while the memory for long bodies is in use, and served afterwards") {
+  ProxyFixture fixture = RigWithMemory(kBeyondUsual);
+  TestServer server;
+  fixture.SetEndpoints({&server});
+  TestConnection first = fixture.ConnectClient();
+  SayAll(fixture, first, UnsafeRequest("first", LongBody(kLong, 'a')));
+  TestConnection& upstream = fixture.WaitForRequest(server, "first");
+  TestConnection second = fixture.ConnectClient();
+  second.Send(UnsafeRequest("second", LongBody(kLong, 'b')).substr(0, 1000));
+  fixture.WaitForData(second, "HTTP/1.1 503 ");
+  // Bodies of the usual size are still forwarded.
+  TestServer other;
+  fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
+  TestConnection third = fixture.ConnectClient();
+  third.Send(SafeRequest("third"));
+  fixture.WaitForRequest(other, "third").Send(Response(200, "usual"));
+  fixture.WaitForData(third, "usual");
+  upstream.Send(Response(200, "for the first"));
+  fixture.WaitForData(first, "for the first");
+  fixture.WaitUntil("its memory is released", [&] { return fixture.long_bodies->taken() == 0; });
+  TestConnection fourth = fixture.ConnectClient();
   const std::string body = LongBody(kLong, 'd');
-  SayAll(rig, fourth, Pay("fourth", body));
-  Peer* at = nullptr;
-  rig.Until("it is sent", [&] {
-    for (Host* host : {&server, &other}) {
+  SayAll(fixture, fourth, UnsafeRequest("fourth", body));
+  TestConnection* at = nullptr;
+  fixture.WaitUntil("the request is sent", [&] {
+    for (TestServer* host : {&server, &other}) {
       host->Accept();
-      for (Peer& peer : host->peers) {
-        if (peer.Has("Request-Id: fourth\r\n") && peer.Has(body)) at = &peer;
+      for (TestConnection& connection : host->connections) {
+        if (connection.HasReceived("Request-Id: fourth\r\n") && connection.HasReceived(body))
+          at = &connection;
       }
     }
     return at != nullptr;
   });
-  at->Say(Answer(200, "for the fourth"));
-  rig.Hears(fourth, "for the fourth");
+  at->Send(Response(200, "for the fourth"));
+  fixture.WaitForData(fourth, "for the fourth");
 }
 
-TEST_CASE("a request that no memory is enough for, or that states an impossible size, is too large") {
-  Rig rig = RigWithMemory(64 * 1024 * 1024);
+TEST_CASE("a request above the maximum size, or with an impossible size, is rejected as too large") {
+  ProxyFixture fixture = RigWithMemory(64 * 1024 * 1024);
   const std::string head =
       "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a1\r\nRequest-Class: pay\r\nRequest-Timeout: 15000m\r\n";
   for (const std::string& framing :
@@ -115,33 +116,33 @@
         std::string("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"),
         std::string("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nfffffffffffffffe\r\n")}) {
     CAPTURE(framing);
-    Peer client = rig.Client();
-    client.Say(head + framing);
-    rig.Hears(client, "HTTP/1.1 413 ");
+    TestConnection client = fixture.ConnectClient();
+    client.Send(head + framing);
+    fixture.WaitForData(client, "HTTP/1.1 413 ");
   }
-  CHECK(rig.long_bodies->taken() == 0);
+  CHECK(fixture.long_bodies->taken() == 0);
 }
 
-TEST_CASE("an answer that there is no memory for has failed, and takes none") {
-  Rig rig = RigWithMemory(kBeyondUsual - 1);
-  Host server;
-  rig.Know({&server});
+TEST_CASE("a response without memory available fails and uses none") {
+  ProxyFixture fixture = RigWithMemory(kBeyondUsual - 1);
+  TestServer server;
+  fixture.SetEndpoints({&server});
   std::string answer;
-  SUBCASE("by its length") { answer = Answer(200, LongBody(kLong, 'r')); }
-  SUBCASE("in chunks") { answer = Chunked(LongBody(kLong, 'r')); }
-  SUBCASE("until its end") { answer = "HTTP/1.1 200 X\r\n\r\n" + LongBody(kLong, 'r'); }
-  Peer client = rig.Client();
-  client.Say(Pay("a1"));
-  Peer& upstream = rig.Request(server, "a1");
+  SUBCASE("Content-Length") { answer = Response(200, LongBody(kLong, 'r')); }
+  SUBCASE("chunked") { answer = Chunked(LongBody(kLong, 'r')); }
+  SUBCASE("until the end of the stream") { answer = "HTTP/1.1 200 X\r\n\r\n" + LongBody(kLong, 'r'); }
+  TestConnection client = fixture.ConnectClient();
+  client.Send(UnsafeRequest("a1"));
+  TestConnection& upstream = fixture.WaitForRequest(server, "a1");
   std::string_view left = answer;
-  rig.Until("the client is answered", [&] {
-    left.remove_prefix(upstream.Try(left));
-    return client.Has("HTTP/1.1 502 ");
+  fixture.WaitUntil("the client is answered", [&] {
+    left.remove_prefix(upstream.TrySend(left));
+    return client.HasReceived("HTTP/1.1 502 ");
   });
-  rig.Until("its memory is given back", [&] { return rig.long_bodies->taken() == 0; });
+  fixture.WaitUntil("its memory is released", [&] { return fixture.long_bodies->taken() == 0; });
 }
 
-TEST_CASE("body memory: shares grow within the limit together, and give back what they took") {
+TEST_CASE("body memory: shares grow within the common limit and release their memory") {
   auto memory = std::make_shared<BodyMemory>(100);
   BodyMemory::Share none;
   CHECK(none.GrowTo(0));
@@ -149,7 +150,7 @@
   {
     BodyMemory::Share first(memory);
     CHECK(first.GrowTo(60));
-    CHECK(first.GrowTo(40));  // it has that already
+    CHECK(first.GrowTo(40));  // no change
     CHECK(memory->taken() == 60);
     BodyMemory::Share second(memory);
     CHECK_FALSE(second.GrowTo(41));
--- a/tests/net/program.hpp
+++ b/tests/net/program.hpp
@@ -1,4 +1,4 @@
-// The program itself, started with a configuration of its own, and what a test needs to know of it.
+// Runs the program as a child process with its own configuration, and gives access to its log.
 #ifndef DAPPLETILLER_TESTS_NET_PROGRAM_HPP_
 #define DAPPLETILLER_TESTS_NET_PROGRAM_HPP_
 
@@ -26,8 +26,8 @@
 
 class Program {
  public:
-  // `env`: more of the environment, as name and value. `piped`: the configuration is a pipe, so that the
-  // program waits in its start until Hand(). `descriptors`: the system's limit on them; 0: the test's own.
+  // `env`: additional environment variables. `piped`: the configuration is a pipe, so the program waits
+  // during its start until WriteConfigToPipe(). `descriptors`: RLIMIT_NOFILE; 0: inherited.
   explicit Program(const std::string& config,
                    const std::vector<std::pair<std::string, std::string>>& env = {}, bool piped = false,
                    rlim_t descriptors = 0) {
@@ -37,7 +37,7 @@
     pid_ = ::fork();
     REQUIRE(pid_ >= 0);
     if (pid_ == 0) {
-      // Guards against outliving a test that dies: whoever waits for the test's output would wait for us.
+      // Do not outlive a crashed test: whoever reads the test's output would wait for this process.
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       int err = ::open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT, 0600);
       ::dup2(err, 2);
@@ -55,7 +55,7 @@
     std::remove((folder_ + "/log").c_str());
     ::rmdir(folder_.c_str());
   }
-  // Its exit code, or -1 if it does not end by itself.
+  // Waits for the exit; returns the exit code, or -1 if the program does not exit normally in time.
   int Wait() {
     int status = 0;
     for (int i = 0; i < 2'000; ++i) {
@@ -65,12 +65,12 @@
     }
     return -1;
   }
-  std::string Said() {
+  std::string ReadLog() {
     std::ifstream in(folder_ + "/log");
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  // Waits until the program reads its piped configuration; then `before` happens, and it gets it.
-  void Hand(
+  // Waits until the program opens its piped configuration, calls `before`, and then writes the configuration.
+  void WriteConfigToPipe(
       const std::string& config, const std::function<void()>& before = [] {}) {
     for (int i = 0; i < 2'000; ++i) {
       FileDescriptor pipe(
@@ -87,7 +87,7 @@
   }
   void Write(const std::string& config) { std::ofstream(folder_ + "/config.json") << config; }
   void Signal(int number) { ::kill(pid_, number); }
-  std::size_t Descriptors() const {  // open now
+  std::size_t Descriptors() const {  // number of open descriptors
     auto all = std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
@@ -102,7 +102,7 @@
   pid_t pid_ = 0;
 };
 
-inline std::string ProgramConfig(std::uint16_t port, std::uint16_t worker, std::uint16_t discovery = 1,
+inline std::string ProgramConfig(std::uint16_t port, std::uint16_t server, std::uint16_t discovery = 1,
                                  const std::string& mode = "ask") {
   std::string local = "\"127.0.0.1:";
   return "{\"name\":\"n0\",\"listen\":" + local + std::to_string(port) + "\",\"discovery\":" + local +
@@ -110,7 +110,7 @@
          "\",\"seed\":\"7\",\"limits\":{\"sockets\":256},\"known\":{\"rev\":1,\"all\":true,\"targets\":[{"
          "\"uid\":\"s\","
          "\"endpoint\":" +
-         local + std::to_string(worker) + "\",\"az\":\"a\",\"state\":\"up\"}]}," +
+         local + std::to_string(server) + "\",\"az\":\"a\",\"state\":\"up\"}]}," +
          R"("settings":{"balancers":1,"zones":["a"],"zone":0,"kinds":["m"],"classes":[{"name":"check",
          "aim":4000000,"giveUp":20000000,"effect":"free"}],"registryMode":")" +
          mode + R"(","tick":5000,
@@ -119,11 +119,11 @@
          "connIdle":15000000}}})";
 }
 
-// The number that follows `what` in the program's log, once it is there.
-inline std::uint16_t PortAfter(Rig& outside, Program& program, const std::string& what) {
-  outside.Until(what.c_str(), [&] { return program.Said().find(what) != std::string::npos; });
-  std::string said = program.Said();
-  return static_cast<std::uint16_t>(std::atoi(said.c_str() + said.find(what) + what.size()));
+// Waits for `what` in the program's log and returns the number that follows it.
+inline std::uint16_t ReadPort(ProxyFixture& fixture, Program& program, const std::string& what) {
+  fixture.WaitUntil(what.c_str(), [&] { return program.ReadLog().find(what) != std::string::npos; });
+  std::string log = program.ReadLog();
+  return static_cast<std::uint16_t>(std::atoi(log.c_str() + log.find(what) + what.size()));
 }
 
 }  // namespace dappletiller::testing
--- a/tests/net/start_test.cpp
+++ b/tests/net/start_test.cpp
@@ -1,5 +1,5 @@
-// The program itself where the platform gives it least: descriptors filled by idle clients while discovery is
-// down, and many that start at once with a long list and no discovery.
+// The program under shortage: all descriptors taken by idle clients while discovery is down, and many
+// processes that start at the same time with a long list and without discovery.
 #include <algorithm>
 #include <memory>
 #include <string>
@@ -15,105 +15,112 @@
   return R"({"uid":")" + uid + R"(","endpoint":")" + endpoint + R"(","az":"a","model":"m","state":")" +
          state + R"(","boot_ms":0})";
 }
-std::string At(const Host& host) { return "127.0.0.1:" + std::to_string(host.port); }
+std::string At(const TestServer& host) { return "127.0.0.1:" + std::to_string(host.port); }
 
 void Replace(std::string* text, const std::string& what, const std::string& with) {
   REQUIRE(text->find(what) != std::string::npos);
   text->replace(text->find(what), what.size(), with);
 }
 
-// A call of a new client to the program at `port`, answered by `worker`.
-void Serve(Rig& outside, std::uint16_t port, Host& worker, const std::string& id) {
-  Peer client = Peer::Dial(port);
-  client.Say(Check(id));
-  Peer& at = outside.Request(worker, id);
+// Sends a request of a new client to the program at `port`; `server` responds.
+void Serve(ProxyFixture& fixture, std::uint16_t port, TestServer& server, const std::string& id) {
+  TestConnection client = TestConnection::Connect(port);
+  client.Send(SafeRequest(id));
+  TestConnection& at = fixture.WaitForRequest(server, id);
   at.text.clear();
-  at.Say(Answer(200, "body of " + id, "Connection: close\r\n"));  // the next one needs a dial
-  outside.Hears(client, "body of " + id);
+  at.Send(
+      Response(200, "body of " + id, "Connection: close\r\n"));  // the next request needs a new connection
+  fixture.WaitForData(client, "body of " + id);
 }
 
-// Guards against a proxy that is deaf once a crowd holds its descriptors: the watch, the dials and the way
-// out need some, also when what they had was lost with discovery.
-TEST_CASE("idle clients fill the descriptors while discovery is down: watch, dials and way out have theirs") {
+// When clients hold all descriptors, the watch, upstream connections and the shutdown still need some, also
+// after their previous ones were lost with discovery.
+TEST_CASE(
+    "with descriptors taken by idle clients while discovery is down, the watch, upstream connections and "
+    "shutdown work") {
   constexpr rlim_t kDescriptors = 64;
-  for (bool silent : {false, true}) {  // it resets each connection; or none comes up
+  for (bool silent : {false, true}) {  // discovery resets each connection, or connection attempts hang
     CAPTURE(silent);
-    Host before, after, discovery(false, silent);
+    TestServer before, after, discovery(false, silent);
     std::string config = ProgramConfig(0, before.port, discovery.port);
     Replace(&config, "\"sockets\":256", "\"sockets\":64");
     Program program(config, {{"BALANCER_CONSOLE", "127.0.0.1:0"}}, false, kDescriptors);
-    Rig outside;  // for its bounded waits only
-    std::uint16_t console = PortAfter(outside, program, "console on port ");
-    std::uint16_t port = PortAfter(outside, program, "started as n0 on port ");
-    std::vector<Peer> crowd, callers;
+    ProxyFixture fixture;  // only for its bounded waits
+    std::uint16_t console = ReadPort(fixture, program, "console on port ");
+    std::uint16_t port = ReadPort(fixture, program, "started as n0 on port ");
+    std::vector<TestConnection> crowd, callers;
     auto fill = [&] {
-      // Who was sent away is replaced, so that far more than it has room for wait at every moment. Bounded: a
-      // test that runs out of descriptors itself would tell nothing (and the sanitizers need some).
-      std::erase_if(crowd, [](Peer& peer) { return peer.Ended(); });
-      while (crowd.size() < 600) crowd.push_back(Peer::Dial(port));
-      // The console's callers as well: all that anybody may hold from outside.
-      std::erase_if(callers, [](Peer& peer) { return peer.Ended(); });
-      while (callers.size() < 60) callers.push_back(Peer::Dial(console));
+      // Disconnected clients are replaced, so that far more than the limit are waiting at any time. Bounded,
+      // since the test needs descriptors itself, as do the sanitizers.
+      std::erase_if(crowd, [](TestConnection& connection) { return connection.IsClosed(); });
+      while (crowd.size() < 600) crowd.push_back(TestConnection::Connect(port));
+      // Console connections too: everything that can be held from outside.
+      std::erase_if(callers, [](TestConnection& connection) { return connection.IsClosed(); });
+      while (callers.size() < 60) callers.push_back(TestConnection::Connect(console));
       if (!silent) {
-        while (discovery.Accept()) discovery.peers.back().Abort();
+        while (discovery.Accept()) discovery.connections.back().Reset();
       }
     };
-    // Dials: each call of a new client needs a descriptor for itself; a worker that closes, one for its dial.
+    // Upstream connections: each request of a new client needs a descriptor for the client and one for the
+    // server.
     for (int i = 0; i < 6; ++i) {
       fill();
-      Serve(outside, port, before, "d" + std::to_string(i));
+      Serve(fixture, port, before, "d" + std::to_string(i));
       CHECK(program.Descriptors() <= kDescriptors);
     }
     fill();
-    outside.Until("the call to discovery failed while the crowd was there", [&] {
+    fixture.WaitUntil("the request to discovery failed while the clients were there", [&] {
       fill();
-      return program.Said().find("discovery: a watch failed") != std::string::npos;
+      return program.ReadLog().find("discovery: a watch failed") != std::string::npos;
     });
     fill();
-    // The watch: discovery is back while the crowd is there, and tells of another worker.
+    // The watch: discovery recovers while the clients are there and lists another server.
     if (silent) discovery.Open();
-    Peer* asked = nullptr;
-    outside.Until("discovery is asked", [&] {
+    TestConnection* asked = nullptr;
+    fixture.WaitUntil("discovery receives a request", [&] {
       discovery.Accept();
-      for (Peer& peer : discovery.peers) {
-        if (peer.Has("GET /discovery/hosts?after=1&wait_ms=0 HTTP/1.1\r\n")) asked = &peer;
+      for (TestConnection& connection : discovery.connections) {
+        if (connection.HasReceived("GET /discovery/hosts?after=1&wait_ms=0 HTTP/1.1\r\n"))
+          asked = &connection;
       }
       return asked != nullptr;
     });
     asked->text.clear();
-    asked->Say(Answer(200, R"({"rev":2,"all":true,"targets":[)" + Target("t", At(after)) + "]}"));
-    outside.Until("the watch goes on",
-                  [&] { return asked->Has("GET /discovery/hosts?after=2&wait_ms=1000 "); });
-    Serve(outside, port, after, "w0");
+    asked->Send(Response(200, R"({"rev":2,"all":true,"targets":[)" + Target("t", At(after)) + "]}"));
+    fixture.WaitUntil("the watch continues",
+                      [&] { return asked->HasReceived("GET /discovery/hosts?after=2&wait_ms=1000 "); });
+    Serve(fixture, port, after, "w0");
     fill();
     CHECK(program.Descriptors() <= kDescriptors);
-    // The way out.
+    // Shutdown.
     program.Signal(SIGTERM);
-    outside.Until("it is leaving", [&] { return program.Said().find("leaving") != std::string::npos; });
-    Peer last = Peer::Dial(port);
-    last.Say(Check("e0"));
-    outside.Until("who comes on the way out is taken and answered", [&] {
+    fixture.WaitUntil("the shutdown has begun",
+                      [&] { return program.ReadLog().find("leaving") != std::string::npos; });
+    TestConnection last = TestConnection::Connect(port);
+    last.Send(SafeRequest("e0"));
+    fixture.WaitUntil("a client that connects during shutdown is served", [&] {
       after.Accept();
-      for (Peer& peer : after.peers) {
-        if (peer.Has("Request-Id: e0\r\n")) peer.text.clear(), peer.Say(Answer(200, "late"));
+      for (TestConnection& connection : after.connections) {
+        if (connection.HasReceived("Request-Id: e0\r\n"))
+          connection.text.clear(), connection.Send(Response(200, "late"));
       }
-      return last.Has("HTTP/1.1 ");
+      return last.HasReceived("HTTP/1.1 ");
     });
     CHECK(program.Wait() == 0);
-    std::string said = program.Said();
-    CHECK(said.find("accept failed") == std::string::npos);
-    CHECK(said.find("cannot connect") == std::string::npos);
-    CHECK(said.find("a call is not sent") == std::string::npos);
+    std::string log = program.ReadLog();
+    CHECK(log.find("accept failed") == std::string::npos);
+    CHECK(log.find("cannot connect") == std::string::npos);
+    CHECK(log.find("an attempt was not sent") == std::string::npos);
   }
 }
 
-// Guards against a start that waits for discovery, or that a long list keeps from coming up. How long it
-// takes, and how that grows with the list, is a benchmark (tools/start_times): a verdict on it would go by
-// the load of the machine. Each has to come up, answer and serve within the bound of a wait.
+// A start must not wait for discovery or fail with a long list. Each process must start and serve within the
+// bound of a wait. The duration is measured by a benchmark (tools/start_times), since a check would depend on
+// the load of the machine.
 TEST_CASE("thirty processes started at once with a list of 17,000 and no discovery are all ready") {
   constexpr int kProcesses = 30;
   constexpr int kWorkers = 17'000;
-  Host worker, silent(false, true);
+  TestServer server, silent(false, true);
   std::string targets;
   for (int i = 1; i < kWorkers; ++i) {
     targets +=
@@ -123,21 +130,21 @@
   }
   std::vector<std::unique_ptr<Program>> programs;
   for (int i = 0; i < kProcesses; ++i) {
-    // Refused, or no connection comes up.
-    std::string config = ProgramConfig(0, worker.port, i % 2 == 0 ? std::uint16_t{1} : silent.port);
+    // Connections are refused, or hang.
+    std::string config = ProgramConfig(0, server.port, i % 2 == 0 ? std::uint16_t{1} : silent.port);
     Replace(&config, "\"targets\":[", "\"targets\":[" + targets);
     programs.push_back(std::make_unique<Program>(config));
   }
-  Rig outside;  // for its bounded waits only
+  ProxyFixture fixture;  // only for its bounded waits
   for (int i = 0; i < kProcesses; ++i) {
     CAPTURE(i);
     Program& program = *programs[static_cast<std::size_t>(i)];
-    std::uint16_t port = PortAfter(outside, program, "started as n0 on port ");
-    CHECK(program.Said().find("with 17000 workers known") != std::string::npos);
-    Peer probe = Peer::Dial(port);
-    probe.Say("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    outside.Hears(probe, "HTTP/1.1 200 ");
-    Serve(outside, port, worker, "r" + std::to_string(i));
+    std::uint16_t port = ReadPort(fixture, program, "started as n0 on port ");
+    CHECK(program.ReadLog().find("with 17000 workers known") != std::string::npos);
+    TestConnection probe = TestConnection::Connect(port);
+    probe.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.WaitForData(probe, "HTTP/1.1 200 ");
+    Serve(fixture, port, server, "r" + std::to_string(i));
   }
 }
 
--- a/tests/net/stream_end_test.cpp
+++ b/tests/net/stream_end_test.cpp
@@ -1,6 +1,6 @@
-// How a stream ended is a fact that its owner gets: a reset is never taken for the end of what lasts until
-// the end, whoever met the error first. And what may begin no more once its client has gone, or its time to
-// be written is over. Real sockets; both sides of a crossing lie in the kernel before the loop's next round.
+// End of streams: a reset must never count as an orderly end, whichever system call reported it first. Also
+// attempts that must not begin after their client has disconnected or their write timeout has passed. Both
+// events of a race are in the kernel before the event loop's next round.
 #include <optional>
 #include <string>
 
@@ -10,7 +10,7 @@
 namespace dappletiller::testing {
 namespace {
 
-// ---- The driver ----
+// ---- Stream socket ----
 
 struct Recorder final : StreamSocket::Callbacks {
   explicit Recorder(EventLoop& loop) : socket(loop, *this) {}
@@ -23,28 +23,28 @@
   }
   void OnClosed(StreamEnd how) override {
     ++gone;
-    ended = how;
+    closed = how;
   }
   StreamSocket socket;
   std::array<char, 4096> room{};
   std::string text;
-  bool replies = false;  // writes from within the read
+  bool replies = false;  // writes from within OnReceived
   int gone = 0;
-  std::optional<StreamEnd> ended;
+  std::optional<StreamEnd> closed;
 };
 
-// One adopted connection, and the peer on its other side.
+// An adopted connection and its other end.
 struct Pair {
-  explicit Pair(Recorder& to) : peer(Peer::Dial(host.port)) {
+  explicit Pair(Recorder& to) : connection(TestConnection::Connect(host.port)) {
     REQUIRE(host.Accept());
-    // The host's own record of it stays empty: the channel owns the descriptor from here.
-    REQUIRE(to.socket.Adopt(host.peers.back().Release()));
+    // The stream socket owns the descriptor from here on.
+    REQUIRE(to.socket.Adopt(host.connections.back().Release()));
   }
-  Host host;
-  Peer peer;
+  TestServer host;
+  TestConnection connection;
 };
 
-TEST_CASE("a reset is told as one, whichever call the kernel told of it, and an end as an end") {
+TEST_CASE("a reset is reported as a reset and an end as an end, whichever system call detected it") {
   enum class Met { kByRead, kByLook, kByWrite, kByWriteWithinRead, kByPoll, kByAskingForTheError };
   for (bool reset : {false, true}) {
     for (bool fin_before : {false, true}) {
@@ -59,14 +59,14 @@
           Recorder to(loop);
           Pair pair(to);
           to.replies = met == Met::kByWriteWithinRead;
-          if (bytes) pair.peer.Say("abc");
-          if (fin_before) pair.peer.EndSending();
+          if (bytes) pair.connection.Send("abc");
+          if (fin_before) pair.connection.ShutdownWrite();
           if (reset) {
-            pair.peer.Abort();
+            pair.connection.Reset();
           } else {
-            pair.peer.EndSending();
+            pair.connection.ShutdownWrite();
           }
-          WaitOutsideTheLoop("the end lies in the kernel", [&] { return to.socket.PeerHasClosed(); });
+          WaitWithoutLoop("the end is in the kernel", [&] { return to.socket.PeerHasClosed(); });
           if (met == Met::kByLook) CHECK(to.socket.IsStale());
           if (met == Met::kByPoll) CHECK(to.socket.PeerHasClosed());
           if (met == Met::kByWrite && reset) {
@@ -76,7 +76,7 @@
           for (int i = 0; to.gone == 0 && i < 1000; ++i) loop.RunOnce(5 * kMs);
           REQUIRE(to.gone == 1);
           CHECK(to.text == (bytes ? "abc" : ""));
-          CHECK((*to.ended == StreamEnd::kBroken) == reset);
+          CHECK((*to.closed == StreamEnd::kBroken) == reset);
           for (int i = 0; i < 3; ++i) loop.RunOnce(0);
           CHECK(to.gone == 1);
         }
@@ -85,23 +85,23 @@
   }
 }
 
-TEST_CASE("what is known of a stream's end is not taken over to the next one") {
+TEST_CASE("the end of a stream does not affect the next one on the same object") {
   EventLoop loop;
   Recorder to(loop);
   for (bool reset : {true, false}) {
     Pair pair(to);
     if (reset) {
-      pair.peer.Abort();
+      pair.connection.Reset();
     } else {
-      pair.peer.Close();
+      pair.connection.Close();
     }
     int before = to.gone;
     for (int i = 0; to.gone == before && i < 1000; ++i) loop.RunOnce(5 * kMs);
-    CHECK((*to.ended == StreamEnd::kBroken) == reset);
+    CHECK((*to.closed == StreamEnd::kBroken) == reset);
   }
 }
 
-// ---- Its owners ----
+// ---- Owners of stream sockets ----
 
 struct Cut {
   const char* what;
@@ -111,188 +111,197 @@
 };
 
 std::vector<Cut> Cuts() {
-  return {{"no length, nothing of the body", "HTTP/1.1 200 OK\r\n\r\n", true, false},
-          {"no length, some of the body", "HTTP/1.1 200 OK\r\n\r\nmade so far", true, false},
-          {"no length, and said to close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nmade so far", true,
-           false},
-          {"HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\nmade so far", true, false},
-          {"chunked, without its last chunk",
-           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmade\r\n", false, false},
-          {"chunked, without its last line",
-           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmade\r\n0\r\n", false, false},
-          {"sized, and short", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nmade so far", false, false},
-          {"half a head", "HTTP/1.1 200 OK\r\nConte", false, false},
-          {"sized, and whole", "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nmade so far", true, true}};
+  return {
+      {"no length, no body", "HTTP/1.1 200 OK\r\n\r\n", true, false},
+      {"no length, part of the body", "HTTP/1.1 200 OK\r\n\r\nmade so far", true, false},
+      {"no length, Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nmade so far", true,
+       false},
+      {"HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\nmade so far", true, false},
+      {"chunked, without the last chunk",
+       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmade\r\n", false, false},
+      {"chunked, without the last line",
+       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmade\r\n0\r\n", false, false},
+      {"Content-Length, incomplete", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nmade so far", false,
+       false},
+      {"half a header", "HTTP/1.1 200 OK\r\nConte", false, false},
+      {"Content-Length, complete", "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nmade so far", true, true}};
 }
 
-// Guards against passing on as whole what a reset cut short, and against running twice what may have run.
-TEST_CASE("an answer that a reset cut short is not passed on; one that ended in order is") {
+// A response truncated by a reset must not be forwarded as complete, and an unsafe request must not be
+// retried.
+TEST_CASE("a response truncated by a reset is not forwarded; one with an orderly end is") {
   for (const Cut& cut : Cuts()) {
     for (bool reset : {false, true}) {
       for (bool safe : {false, true}) {
         CAPTURE(cut.what);
         CAPTURE(reset);
         CAPTURE(safe);
-        Rig rig;
-        Host worker, other;
-        rig.Know({&worker});
-        Peer client = rig.Client();
-        client.Say(safe ? Check("a1") : Pay("a1"));
-        Peer& at = rig.Request(worker, "a1");
-        rig.Know({&other}, EndpointList::Kind::kDelta);
-        at.Say(cut.bytes);
+        ProxyFixture fixture;
+        TestServer server, other;
+        fixture.SetEndpoints({&server});
+        TestConnection client = fixture.ConnectClient();
+        client.Send(safe ? SafeRequest("a1") : UnsafeRequest("a1"));
+        TestConnection& at = fixture.WaitForRequest(server, "a1");
+        fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
+        at.Send(cut.bytes);
         if (reset) {
-          at.Abort();
+          at.Reset();
         } else {
           at.Close();
         }
         if (reset ? cut.whole_at_reset : cut.whole_at_end) {
-          rig.Hears(client, "HTTP/1.1 200 OK\r\n");
-          Settles(rig);
+          fixture.WaitForData(client, "HTTP/1.1 200 OK\r\n");
+          CheckSettled(fixture);
           CHECK_FALSE(other.Accept());
           continue;
         }
         if (safe) {
-          rig.Request(other, "a1").Say(Answer(200, "whole elsewhere"));
-          rig.Hears(client, "whole elsewhere");
+          fixture.WaitForRequest(other, "a1").Send(Response(200, "whole elsewhere"));
+          fixture.WaitForData(client, "whole elsewhere");
         } else {
-          rig.Hears(client, "HTTP/1.1 502 ");
+          fixture.WaitForData(client, "HTTP/1.1 502 ");
           CHECK_FALSE(other.Accept());
         }
-        Settles(rig);
-        CHECK_FALSE(client.Has("made"));
+        CheckSettled(fixture);
+        CHECK_FALSE(client.HasReceived("made"));
       }
     }
   }
 }
 
-// Guards against following a list that may be the beginning of another: what stands there is whole JSON.
-TEST_CASE("a list that a reset cut short is not followed, and is asked for again") {
+// A list truncated by a reset may be the beginning of another one, even if it is valid JSON.
+TEST_CASE("a list truncated by a reset is not applied and is requested again") {
   for (bool reset : {false, true}) {
     CAPTURE(reset);
-    balancer::Settings rules = Rules();
-    rules.endpoints_on_request = true;
-    rules.poll_interval = 1'000 * kMs;
-    Rig rig(rules);
-    rig.Know({});
-    Host worker;
-    rig.Until("discovery is asked", [&] { return rig.registry.Accept(); });
-    Peer& asked = rig.registry.peers[0];
-    rig.Hears(asked, "\r\n\r\n");
-    asked.Say(
+    balancer::Settings settings = TestSettings();
+    settings.endpoints_on_request = true;
+    settings.poll_interval = 1'000 * kMs;
+    ProxyFixture fixture(settings);
+    fixture.SetEndpoints({});
+    TestServer server;
+    fixture.WaitUntil("discovery receives a request", [&] { return fixture.discovery_server.Accept(); });
+    TestConnection& asked = fixture.discovery_server.connections[0];
+    fixture.WaitForData(asked, "\r\n\r\n");
+    asked.Send(
         "HTTP/1.1 200 "
         "OK\r\n\r\n{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"w\",\"endpoint\":\"127.0.0.1:" +
-        std::to_string(worker.port) + "\",\"az\":\"here\",\"model\":\"plain\",\"state\":\"up\"}]}\n");
+        std::to_string(server.port) + "\",\"az\":\"here\",\"model\":\"plain\",\"state\":\"up\"}]}\n");
     if (reset) {
-      asked.Abort();
+      asked.Reset();
     } else {
       asked.Close();
     }
-    rig.Until("it is asked again", [&] { return rig.registry.Accept(); });
-    Peer& again = rig.registry.peers[1];
-    rig.Hears(again, reset ? "?after=41&" : "?after=42&");
-    CHECK(rig.dispatcher.known_servers() == (reset ? 0 : 1));
+    fixture.WaitUntil("discovery receives another request",
+                      [&] { return fixture.discovery_server.Accept(); });
+    TestConnection& again = fixture.discovery_server.connections[1];
+    fixture.WaitForData(again, reset ? "?after=41&" : "?after=42&");
+    CHECK(fixture.dispatcher.known_servers() == (reset ? 0 : 1));
   }
 }
 
-// ---- What begins no more ----
+// ---- Attempts that must not begin ----
 
 enum class Leaves { kClose, kReset, kCloseBehindBytes };
 
-void Leave(Peer& client, Leaves how) {
+void Leave(TestConnection& client, Leaves how) {
   if (how == Leaves::kCloseBehindBytes) {
-    for (int i = 0; i < 20; ++i) client.Try(Check("behind" + std::to_string(i)));
+    for (int i = 0; i < 20; ++i) client.TrySend(SafeRequest("behind" + std::to_string(i)));
   }
   if (how == Leaves::kReset) {
-    client.Abort();
+    client.Reset();
   } else {
     client.Close();
   }
 }
 
-// Guards against a further attempt for a client that has left: its end lies in the kernel behind the outcome
-// that sets off the attempt, and an idle connection would take its bytes in the same call.
-TEST_CASE("a further attempt does not begin for a client whose end the kernel knows") {
+// No attempt may begin for a client that has disconnected. The disconnect is in the kernel behind the outcome
+// that causes the retry, and an idle connection would send the retry immediately.
+TEST_CASE("no retry begins for a client whose disconnect is known to the kernel") {
   for (Leaves how : {Leaves::kClose, Leaves::kReset, Leaves::kCloseBehindBytes}) {
     for (bool may_cancel : {false, true}) {
       for (std::size_t burst : {1, 4}) {
         CAPTURE(static_cast<int>(how));
         CAPTURE(may_cancel);
         CAPTURE(burst);
-        balancer::Settings rules = Rules();
-        rules.may_cancel = may_cancel;
-        Rig rig(rules);
-        Host first, second;
-        // Idle connections at the second, and none of them busy.
-        rig.Know({&second});
-        std::vector<Peer> clients;
+        balancer::Settings settings = TestSettings();
+        settings.may_cancel = may_cancel;
+        ProxyFixture fixture(settings);
+        TestServer first, second;
+        // Creates idle connections to the second server.
+        fixture.SetEndpoints({&second});
+        std::vector<TestConnection> clients;
         for (std::size_t i = 0; i < burst; ++i) {
-          clients.push_back(rig.Client());
-          clients[i].Say(Check("w" + std::to_string(i)));
+          clients.push_back(fixture.ConnectClient());
+          clients[i].Send(SafeRequest("w" + std::to_string(i)));
         }
-        for (std::size_t i = 0; i < burst; ++i) rig.Request(second, "w" + std::to_string(i));
-        for (Peer& peer : second.peers) peer.Say(Answer(200, "warm"));
-        for (Peer& client : clients) rig.Hears(client, "warm");
-        rig.Know({&second}, EndpointList::Kind::kDelta, EndpointState::kDraining);
-        rig.Know({&first}, EndpointList::Kind::kDelta);
-        for (std::size_t i = 0; i < burst; ++i) clients[i].Say(Check("a" + std::to_string(i)));
-        for (std::size_t i = 0; i < burst; ++i) rig.Request(first, "a" + std::to_string(i));
-        rig.Know({&second}, EndpointList::Kind::kDelta);
-        Peer next = rig.Client();
-        next.Say(Check("warm-again"));
-        Peer* warm = nullptr;
-        rig.Until("it is somewhere", [&] {
-          for (Host* host : {&first, &second}) {
+        for (std::size_t i = 0; i < burst; ++i) fixture.WaitForRequest(second, "w" + std::to_string(i));
+        for (TestConnection& connection : second.connections) connection.Send(Response(200, "warm"));
+        for (TestConnection& client : clients) fixture.WaitForData(client, "warm");
+        fixture.SetEndpoints({&second}, EndpointList::Kind::kDelta, EndpointState::kDraining);
+        fixture.SetEndpoints({&first}, EndpointList::Kind::kDelta);
+        for (std::size_t i = 0; i < burst; ++i) clients[i].Send(SafeRequest("a" + std::to_string(i)));
+        for (std::size_t i = 0; i < burst; ++i) fixture.WaitForRequest(first, "a" + std::to_string(i));
+        fixture.SetEndpoints({&second}, EndpointList::Kind::kDelta);
+        TestConnection next = fixture.ConnectClient();
+        next.Send(SafeRequest("warm-again"));
+        TestConnection* warm = nullptr;
+        fixture.WaitUntil("a server has the request", [&] {
+          for (TestServer* host : {&first, &second}) {
             host->Accept();
-            for (Peer& peer : host->peers) {
-              if (peer.Has("Request-Id: warm-again\r\n")) warm = &peer;
+            for (TestConnection& connection : host->connections) {
+              if (connection.HasReceived("Request-Id: warm-again\r\n")) warm = &connection;
             }
           }
           return warm != nullptr;
         });
-        warm->Say(Answer(200, "again"));
-        rig.Hears(next, "again");
-        for (Peer& peer : second.peers) peer.text.clear();
-        // Both in the kernel: the refusal that sets off the next attempt, then the client's end.
-        for (Peer& peer : first.peers) {
-          if (peer.Has("Request-Id: a")) peer.Say(Answer(503, "", "Not-Started: 1\r\n"));
+        warm->Send(Response(200, "again"));
+        fixture.WaitForData(next, "again");
+        for (TestConnection& connection : second.connections) connection.text.clear();
+        // Both in the kernel: the rejection that causes the retry, then the client's disconnect.
+        for (TestConnection& connection : first.connections) {
+          if (connection.HasReceived("Request-Id: a"))
+            connection.Send(Response(503, "", "Not-Started: 1\r\n"));
         }
-        for (Peer& client : clients) Leave(client, how);
-        rig.Until("they have left", [&] { return rig.dispatcher.open_requests() == 0; });
-        Settles(rig);
-        // What has begun lies in the kernel by now, also on connections not yet accepted.
+        for (TestConnection& client : clients) Leave(client, how);
+        fixture.WaitUntil("the disconnects are noticed",
+                          [&] { return fixture.dispatcher.open_requests() == 0; });
+        CheckSettled(fixture);
+        // Attempts that have begun are in the kernel by now, also on connections not accepted yet.
         while (second.Accept()) {
         }
-        for (Peer& peer : second.peers) CHECK_FALSE(peer.Has("Request-Id: a"));
+        for (TestConnection& connection : second.connections)
+          CHECK_FALSE(connection.HasReceived("Request-Id: a"));
       }
     }
   }
 }
 
-// Guards against an attempt that begins when its connection comes up while the process stood still: the
-// client's end lies behind that in the kernel.
-TEST_CASE("an attempt whose connection comes up after its client's end was due does not begin") {
+// The connection is established and the client disconnects while the process is stalled. The attempt must not
+// begin.
+TEST_CASE("no attempt begins on a connection established after its client has disconnected") {
   for (Leaves how : {Leaves::kClose, Leaves::kReset, Leaves::kCloseBehindBytes}) {
     for (bool may_cancel : {false, true}) {
       CAPTURE(static_cast<int>(how));
       CAPTURE(may_cancel);
-      balancer::Settings rules = Rules();
-      rules.may_cancel = may_cancel;
-      Rig rig(rules);
-      Host shut(false, true);
-      rig.Know({&shut});
-      Peer client = rig.Client();
-      client.Say(Check("a1"));
-      rig.Until("it is dialled", [&] { return rig.workers.connections() == 1; });
+      balancer::Settings settings = TestSettings();
+      settings.may_cancel = may_cancel;
+      ProxyFixture fixture(settings);
+      TestServer shut(false, true);
+      fixture.SetEndpoints({&shut});
+      TestConnection client = fixture.ConnectClient();
+      client.Send(SafeRequest("a1"));
+      fixture.WaitUntil("a connection is being established",
+                        [&] { return fixture.upstream_pool.connections() == 1; });
       shut.Open();
-      WaitOutsideTheLoop("the connection is up", [&] { return shut.Accept(); });
+      WaitWithoutLoop("the connection is established", [&] { return shut.Accept(); });
       Leave(client, how);
-      rig.Until("it has left", [&] { return rig.dispatcher.open_requests() == 0; });
-      Settles(rig);
-      Peer next = rig.Client();
-      next.Say(Check("b1"));
-      rig.Request(shut, "b1");
-      for (Peer& peer : shut.peers) CHECK_FALSE(peer.Has("Request-Id: a1"));
+      fixture.WaitUntil("the disconnect is noticed", [&] { return fixture.dispatcher.open_requests() == 0; });
+      CheckSettled(fixture);
+      TestConnection next = fixture.ConnectClient();
+      next.Send(SafeRequest("b1"));
+      fixture.WaitForRequest(shut, "b1");
+      for (TestConnection& connection : shut.connections)
+        CHECK_FALSE(connection.HasReceived("Request-Id: a1"));
     }
   }
 }
@@ -303,57 +312,61 @@
          "4\r\n\r\nopen";
 }
 
-// Guards against a repeat that is decided within the group's window and begins after it, when its connection
-// comes up late: the group has forgotten the first by then and would run it again.
-TEST_CASE("a repeat that can't be written within the group's window is taken back, and answered at once") {
+// A retry decided within the lifetime of the idempotency key must not be written after it, when its
+// connection is established late: the servers would run the request again.
+TEST_CASE(
+    "a retry that cannot be written within the key's lifetime is revoked, and the request is answered "
+    "immediately") {
   for (bool stood_still : {false, true}) {
     CAPTURE(stood_still);
-    balancer::Settings rules = Rules();
-    rules.classes[2].key_lifetime = 400 * kMs;
-    Rig rig(rules);
-    Host first, shut(false, true);
-    rig.Know({&first});
-    Peer client = rig.Client();
-    client.Say(Open("a1"));
-    Peer& at = rig.Request(first, "a1");
-    Micros sent_by = rig.loop.Now();
-    rig.Know({&shut}, EndpointList::Kind::kDelta);
-    rig.Know({&first}, EndpointList::Kind::kDelta, EndpointState::kDraining);
-    at.Say(Answer(500));  // it may have run; its connection stays
-    rig.Until("the repeat is dialled",
-              [&] { return rig.workers.connections() == 2 || client.Has("HTTP/1.1 502 "); });
-    REQUIRE_FALSE(client.Has("HTTP/1.1 "));
+    balancer::Settings settings = TestSettings();
+    settings.classes[2].key_lifetime = 400 * kMs;
+    ProxyFixture fixture(settings);
+    TestServer first, shut(false, true);
+    fixture.SetEndpoints({&first});
+    TestConnection client = fixture.ConnectClient();
+    client.Send(Open("a1"));
+    TestConnection& at = fixture.WaitForRequest(first, "a1");
+    Micros sent_by = fixture.loop.Now();
+    fixture.SetEndpoints({&shut}, EndpointList::Kind::kDelta);
+    fixture.SetEndpoints({&first}, EndpointList::Kind::kDelta, EndpointState::kDraining);
+    at.Send(Response(500));  // it may have run; the connection stays open
+    fixture.WaitUntil("the retry is connecting", [&] {
+      return fixture.upstream_pool.connections() == 2 || client.HasReceived("HTTP/1.1 502 ");
+    });
+    REQUIRE_FALSE(client.HasReceived("HTTP/1.1 "));
     if (stood_still) {
-      // Up in the kernel, and the loop hears of it only after the window.
+      // Established in the kernel, but the event loop notices it only after the key's lifetime.
       shut.Open();
-      WaitOutsideTheLoop("the connection is up", [&] { return shut.Accept(); });
-      WaitOutsideTheLoop("the window is over",
-                         [&] { return rig.loop.Now() > sent_by + rules.classes[2].key_lifetime; });
+      WaitWithoutLoop("the connection is established", [&] { return shut.Accept(); });
+      WaitWithoutLoop("the key's lifetime is over",
+                      [&] { return fixture.loop.Now() > sent_by + settings.classes[2].key_lifetime; });
     }
-    rig.Hears(client, "HTTP/1.1 502 ");
-    Settles(rig);
-    CHECK(rig.workers.connections() == 1);
+    fixture.WaitForData(client, "HTTP/1.1 502 ");
+    CheckSettled(fixture);
+    CHECK(fixture.upstream_pool.connections() == 1);
     if (!stood_still) shut.Open();
-    Peer next = rig.Client();
-    next.Say(Check("b1"));
-    rig.Request(shut, "b1");
-    for (Peer& peer : shut.peers) CHECK_FALSE(peer.Has("Request-Id: a1"));
+    TestConnection next = fixture.ConnectClient();
+    next.Send(SafeRequest("b1"));
+    fixture.WaitForRequest(shut, "b1");
+    for (TestConnection& connection : shut.connections) CHECK_FALSE(connection.HasReceived("Request-Id: a1"));
   }
 }
 
-// Guards against telling a server more time than the client still has, by as much as the dialling took.
-TEST_CASE("an attempt tells the time that is left when it is written, not when it was dialled") {
-  Rig rig;
-  Host shut(false, true);
-  rig.Know({&shut});
-  Peer client = rig.Client();
-  client.Say(Check("a1"));
-  rig.Until("it is dialled", [&] { return rig.workers.connections() == 1; });
-  Micros begun_by = rig.loop.Now();
+// The time stated to a server must not include the time spent on connecting.
+TEST_CASE("an attempt states the time left when it is written, not when it began to connect") {
+  ProxyFixture fixture;
+  TestServer shut(false, true);
+  fixture.SetEndpoints({&shut});
+  TestConnection client = fixture.ConnectClient();
+  client.Send(SafeRequest("a1"));
+  fixture.WaitUntil("a connection is being established",
+                    [&] { return fixture.upstream_pool.connections() == 1; });
+  Micros begun_by = fixture.loop.Now();
   shut.Open();
-  WaitOutsideTheLoop("the connection is up", [&] { return shut.Accept(); });
-  Micros up_at = rig.loop.Now();
-  Peer& at = rig.Request(shut, "a1");
+  WaitWithoutLoop("the connection is established", [&] { return shut.Accept(); });
+  Micros up_at = fixture.loop.Now();
+  TestConnection& at = fixture.WaitForRequest(shut, "a1");
   const std::string name = "\r\nRequest-Timeout: ";
   std::size_t place = at.text.find(name);
   REQUIRE(place != std::string::npos);
--- a/tests/net/support.hpp
+++ b/tests/net/support.hpp
@@ -1,5 +1,6 @@
-// Real sockets on loopback for the tests of the network code: a worker or discovery that a test plays by
-// hand, a client, and the proxy's parts wired up as main does. Every wait is bounded and on a condition.
+// Fixture for tests of the network code with real sockets on loopback: servers and discovery controlled by
+// the test, clients, and the proxy's parts connected as in the program. Every wait is bounded and for a
+// condition.
 #ifndef DAPPLETILLER_TESTS_NET_SUPPORT_HPP_
 #define DAPPLETILLER_TESTS_NET_SUPPORT_HPP_
 
@@ -26,15 +27,15 @@
 namespace dappletiller::testing {
 
 constexpr Micros kMs = 1000;
-constexpr Micros kBound = 20'000 * kMs;  // far more than any wait should take, on the busiest machine
+constexpr Micros kBound = 20'000 * kMs;  // far longer than any wait should take, even on a busy machine
 constexpr std::uint32_t kLoopback = 0x7f000001;
 
-// One end of a connection, played by the test.
-class Peer {
+// The test's end of a connection.
+class TestConnection {
  public:
-  explicit Peer(FileDescriptor fd) : fd_(std::move(fd)) {}
-  // `receive_buffer`: bytes that its kernel keeps for it; 0: the kernel's choice.
-  static Peer Dial(std::uint16_t port, int receive_buffer = 0) {
+  explicit TestConnection(FileDescriptor fd) : fd_(std::move(fd)) {}
+  // `receive_buffer`: size of the kernel's receive buffer in bytes; 0: default.
+  static TestConnection Connect(std::uint16_t port, int receive_buffer = 0) {
     FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     if (receive_buffer != 0) {
       REQUIRE(::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer) == 0);
@@ -44,24 +45,24 @@
     to.sin_addr.s_addr = htonl(kLoopback);
     to.sin_port = htons(port);
     REQUIRE(::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
-    return Peer(std::move(fd));
+    return TestConnection(std::move(fd));
   }
-  // As much as the kernel takes now.
-  std::size_t Try(std::string_view bytes) {
+  // Sends as much as the kernel accepts now; returns the number of bytes.
+  std::size_t TrySend(std::string_view bytes) {
     ssize_t n = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return n > 0 ? static_cast<std::size_t>(n) : 0;
   }
-  void Say(std::string_view text) { ::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL); }
-  // Takes some of what has come, at most `most` bytes; the rest stays in the kernel.
-  void Take(std::size_t most) {
-    std::string bytes(most, '\0');
+  void Send(std::string_view text) { ::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL); }
+  // Reads at most `max_bytes` of the received data; the rest stays in the kernel.
+  void Receive(std::size_t max_bytes) {
+    std::string bytes(max_bytes, '\0');
     ssize_t n = ::recv(fd_.get(), bytes.data(), bytes.size(), MSG_DONTWAIT);
     if (n > 0) text.append(bytes, 0, static_cast<std::size_t>(n));
     reset = reset || (n < 0 && errno == ECONNRESET);
-    ended = ended || n == 0 || reset;
+    closed = closed || n == 0 || reset;
   }
-  // Takes what has come; `ended` turns true once the other side has closed or reset.
-  const std::string& Heard() {
+  // Reads all received data. `closed` becomes true once the other side has closed or reset the connection.
+  const std::string& Received() {
     char bytes[4096];
     for (;;) {
       ssize_t n = ::recv(fd_.get(), bytes, sizeof bytes, MSG_DONTWAIT);
@@ -70,34 +71,34 @@
         continue;
       }
       reset = reset || (n < 0 && errno == ECONNRESET);
-      ended = ended || n == 0 || errno == ECONNRESET;
+      closed = closed || n == 0 || errno == ECONNRESET;
       return text;
     }
   }
-  bool Has(std::string_view part) { return Heard().find(part) != std::string::npos; }
-  bool Ended() { return Heard(), ended; }
+  bool HasReceived(std::string_view part) { return Received().find(part) != std::string::npos; }
+  bool IsClosed() { return Received(), closed; }
   void Close() { fd_.Reset(); }
-  void EndSending() { ::shutdown(fd_.get(), SHUT_WR); }
-  FileDescriptor Release() { return std::move(fd_); }  // to another owner
-  void Abort() {                                       // ends in a reset
+  void ShutdownWrite() { ::shutdown(fd_.get(), SHUT_WR); }
+  FileDescriptor Release() { return std::move(fd_); }  // passes the descriptor to another owner
+  void Reset() {                                       // closes with a TCP reset
     linger hard{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     fd_.Reset();
   }
   std::string text;
-  bool ended = false;
+  bool closed = false;
   bool reset = false;
 
  private:
   FileDescriptor fd_;
 };
 
-// A listening socket on a port of the kernel's choice.
-class Host {
+// A server controlled by the test: a listening socket on an ephemeral port.
+class TestServer {
  public:
-  // `handed_down`: kept open across exec, as the platform's socket is for the program.
-  // `shut`: the kernel drops those who connect until Open().
-  explicit Host(bool handed_down = false, bool shut = false)
+  // `handed_down`: stays open across exec, like the socket that the platform passes to the program. `shut`:
+  // connection attempts hang until Open().
+  explicit TestServer(bool handed_down = false, bool shut = false)
       : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | (handed_down ? 0 : SOCK_CLOEXEC), 0)) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -107,33 +108,33 @@
     REQUIRE(::listen(fd_.get(), shut ? 0 : 64) == 0);
     REQUIRE(::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&at), &size) == 0);
     port = ntohs(at.sin_port);
-    // A queue of one, and one in it: the next ones' first packets are dropped.
-    if (shut) plug_.push_back(Peer::Dial(port));
+    // The accept queue has one place, which is occupied: further SYN packets are dropped.
+    if (shut) plug_.push_back(TestConnection::Connect(port));
   }
-  // The queue is emptied: the kernels' next tries come through.
+  // Empties the accept queue, so that retransmitted SYN packets are accepted.
   void Open() {
     REQUIRE(::listen(fd_.get(), 64) == 0);
     FileDescriptor plug(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     plug_.clear();
   }
-  bool Accept() {  // true once another connection has come; it is the last of `peers`
+  bool Accept() {  // true if a connection was accepted; it is the last of `connections`
     FileDescriptor fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     if (!fd) return false;
-    peers.emplace_back(std::move(fd));
+    connections.emplace_back(std::move(fd));
     return true;
   }
   Endpoint endpoint() const { return {kLoopback, port}; }
   int fd() const { return fd_.get(); }
   void Close() { fd_.Reset(); }
   std::uint16_t port = 0;
-  std::vector<Peer> peers;
+  std::vector<TestConnection> connections;
 
  private:
   FileDescriptor fd_;
-  std::vector<Peer> plug_;
+  std::vector<TestConnection> plug_;
 };
 
-inline balancer::Settings Rules() {
+inline balancer::Settings TestSettings() {
   balancer::Settings s;
   s.seed = 7;
   s.clock_step = 5 * kMs;
@@ -156,23 +157,24 @@
   return s;
 }
 
-// As many names as the settings have tenants: t0, t1 ...
-inline std::vector<std::string> Tenants(const balancer::Settings& rules) {
+// A name for each tenant in the settings: t0, t1 ...
+inline std::vector<std::string> TenantNames(const balancer::Settings& settings) {
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < rules.tenants.size(); ++i) names.push_back("t" + std::to_string(i));
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) names.push_back("t" + std::to_string(i));
   return names;
 }
 
-// The proxy as main wires it, with discovery at `registry` and as many workers as the test names.
-class Rig {
+// The parts of the proxy, connected as in the program, with discovery at `discovery_server`.
+class ProxyFixture {
  public:
-  explicit Rig(const balancer::Settings& rules = Rules(), Micros idle = kBound, std::size_t connections = 64,
-               std::size_t kept = 8, std::size_t places = 64, bool pushed = false, Micros write_for = kBound,
-               Micros linger_for = 1'000 * kMs, std::size_t long_body_memory = 0)
-      : dispatcher(loop, log, rules),
+  explicit ProxyFixture(const balancer::Settings& settings = TestSettings(), Micros idle = kBound,
+                        std::size_t connections = 64, std::size_t kept = 8, std::size_t places = 64,
+                        bool pushed = false, Micros write_timeout = kBound,
+                        Micros linger_timeout = 1'000 * kMs, std::size_t long_body_memory = 0)
+      : dispatcher(loop, log, settings),
         descriptors(connections, kept),
         long_bodies(std::make_shared<BodyMemory>(long_body_memory)),
-        workers(loop, log, dispatcher, descriptors, {kBound, idle}, long_bodies),
+        upstream_pool(loop, log, dispatcher, descriptors, {kBound, idle}, long_bodies),
         listener(loop, log, dispatcher, descriptors,
                  {{kLoopback, 0},
                   {"check", "pay", "open"},
@@ -181,23 +183,28 @@
                   places,
                   kBound,
                   {},
-                  Tenants(rules),
-                  write_for,
-                  linger_for,
+                  TenantNames(settings),
+                  write_timeout,
+                  linger_timeout,
                   long_bodies}),
-        discovery(
-            loop, log, dispatcher,
-            {registry.endpoint(), "discovery", {{"here"}, {"plain"}}, 41, rules.poll_interval, pushed}) {
-    dispatcher.Connect(workers, discovery);
+        discovery(loop, log, dispatcher,
+                  {discovery_server.endpoint(),
+                   "discovery",
+                   {{"here"}, {"plain"}},
+                   41,
+                   settings.poll_interval,
+                   pushed}) {
+    dispatcher.Connect(upstream_pool, discovery);
     listener.Listen();
     discovery.Start();
   }
 
-  void Know(const std::vector<Host*>& hosts, EndpointList::Kind kind = EndpointList::Kind::kCached,
-            EndpointState state = EndpointState::kReady) {
+  void SetEndpoints(const std::vector<TestServer*>& hosts,
+                    EndpointList::Kind kind = EndpointList::Kind::kCached,
+                    EndpointState state = EndpointState::kReady) {
     EndpointList list;
     list.kind = kind;
-    for (Host* host : hosts) {
+    for (TestServer* host : hosts) {
       EndpointEntry entry;
       entry.uid = "w" + std::to_string(host->port);
       entry.endpoint = host->endpoint();
@@ -208,8 +215,8 @@
     dispatcher.OnEndpointUpdate(list);
   }
 
-  // Runs the loop until something holds, and fails the test if it never does.
-  void Until(const char* what, const std::function<bool()>& holds) {
+  // Runs the event loop until the condition holds; fails the test after kBound.
+  void WaitUntil(const char* what, const std::function<bool()>& holds) {
     Micros end = loop.Now() + kBound;
     while (!holds()) {
       INFO("waiting until " << std::string(what));
@@ -218,41 +225,43 @@
     }
   }
 
-  Peer Client() { return Peer::Dial(listener.port()); }
-  // Waits for a request at a worker, on whichever of its connections, and returns that connection.
-  Peer& Request(Host& host, std::string_view id) {
-    Peer* found = nullptr;
-    Until("the worker has the request", [&] {
+  TestConnection ConnectClient() { return TestConnection::Connect(listener.port()); }
+  // Waits for a request with this id on any connection of the server; returns the connection.
+  TestConnection& WaitForRequest(TestServer& host, std::string_view id) {
+    TestConnection* found = nullptr;
+    WaitUntil("the worker has the request", [&] {
       host.Accept();
-      for (Peer& peer : host.peers) {
-        if (peer.Has("Request-Id: " + std::string(id) + "\r\n") && peer.Has("\r\n\r\n")) found = &peer;
+      for (TestConnection& connection : host.connections) {
+        if (connection.HasReceived("Request-Id: " + std::string(id) + "\r\n") &&
+            connection.HasReceived("\r\n\r\n"))
+          found = &connection;
       }
       return found != nullptr;
     });
     return *found;
   }
-  void Hears(Peer& peer, std::string_view part) {
-    Until(std::string(part).c_str(), [&] { return peer.Has(part); });
+  void WaitForData(TestConnection& connection, std::string_view part) {
+    WaitUntil(std::string(part).c_str(), [&] { return connection.HasReceived(part); });
   }
 
-  Host registry;
+  TestServer discovery_server;
   EventLoop loop;
   Log log{stderr, "test"};
   RequestDispatcher dispatcher;
   DescriptorLimit descriptors;
   std::shared_ptr<BodyMemory> long_bodies;
-  UpstreamPool workers;
+  UpstreamPool upstream_pool;
   DownstreamListener listener;
   DiscoveryClient discovery;
 };
 
-// The connection on which discovery was asked for `target` (and the test has not seen it), once one has been.
-inline Peer& Asked(Rig& rig, const std::string& target) {
-  Peer* found = nullptr;
-  rig.Until(target.c_str(), [&] {
-    rig.registry.Accept();
-    for (Peer& peer : rig.registry.peers) {
-      if (peer.Has("GET " + target + " HTTP/1.1\r\n")) found = &peer;
+// Waits for a request for `target` at discovery and returns its connection, with the received text cleared.
+inline TestConnection& WaitForDiscoveryRequest(ProxyFixture& fixture, const std::string& target) {
+  TestConnection* found = nullptr;
+  fixture.WaitUntil(target.c_str(), [&] {
+    fixture.discovery_server.Accept();
+    for (TestConnection& connection : fixture.discovery_server.connections) {
+      if (connection.HasReceived("GET " + target + " HTTP/1.1\r\n")) found = &connection;
     }
     return found != nullptr;
   });
@@ -260,38 +269,38 @@
   return *found;
 }
 
-inline std::string Check(const std::string& id, const std::string& more = "") {
+inline std::string SafeRequest(const std::string& id, const std::string& more = "") {
   return "GET /api?k=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id +
          "\r\nRequest-Class: check\r\nRequest-Timeout: 15000m\r\n" + more + "\r\n";
 }
-inline std::string Pay(const std::string& id, const std::string& body = "pay") {
+inline std::string UnsafeRequest(const std::string& id, const std::string& body = "pay") {
   return "POST /api?k=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id +
          "\r\nRequest-Class: pay\r\nRequest-Timeout: 15000000u\r\nContent-Length: " +
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-// The same with a stated time of their own.
-inline std::string CheckWithin(const std::string& id, int milliseconds) {
+// The same with a given timeout.
+inline std::string SafeRequestWithTimeout(const std::string& id, int milliseconds) {
   return "GET /api?k=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id +
          "\r\nRequest-Class: check\r\nRequest-Timeout: " + std::to_string(milliseconds) + "m\r\n\r\n";
 }
-inline std::string PayWithin(const std::string& id, int milliseconds) {
+inline std::string UnsafeRequestWithTimeout(const std::string& id, int milliseconds) {
   return "POST /api?k=1 HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id +
          "\r\nRequest-Class: pay\r\nRequest-Timeout: " + std::to_string(milliseconds) +
          "m\r\nContent-Length: 3\r\n\r\npay";
 }
-inline std::string Answer(int status, const std::string& body = "", const std::string& more = "") {
+inline std::string Response(int status, const std::string& body = "", const std::string& more = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n" + more + "\r\n" + body;
 }
 
-// No call and no attempt is left behind: every one sent has had its one outcome.
-inline void Settles(Rig& rig) {
-  rig.Until("all is over", [&] { return rig.dispatcher.table_size() == 0; });
-  CHECK(rig.dispatcher.open_requests() == 0);
+// Waits until no request and no attempt is left: each attempt has had exactly one outcome.
+inline void CheckSettled(ProxyFixture& fixture) {
+  fixture.WaitUntil("all is over", [&] { return fixture.dispatcher.table_size() == 0; });
+  CHECK(fixture.dispatcher.open_requests() == 0);
 }
 
-// Waits for a condition while the proxy's loop stands still.
-inline void WaitOutsideTheLoop(const char* what, const std::function<bool()>& holds) {
+// Waits for a condition without running the proxy's event loop.
+inline void WaitWithoutLoop(const char* what, const std::function<bool()>& holds) {
   EventLoop clock;
   Micros end = clock.Now() + kBound;
   while (!holds()) {
@@ -301,8 +310,8 @@
   }
 }
 
-// Waits for the final answer of a call that a test hands to the gateway itself.
-struct Waiter final : ResponseSink {
+// Sink for requests that a test passes directly to the dispatcher.
+struct RecordingSink final : ResponseSink {
   void OnResponse(PayloadRef) override { ++served; }
   void OnRejected(Micros) override { ++other; }
   void OnFailed() override { ++other; }
@@ -311,7 +320,7 @@
   int other = 0;
 };
 
-inline PayloadRef Parsed(const std::string& bytes) {
+inline PayloadRef ParseRequest(const std::string& bytes) {
   http::Parser parser(http::Parser::Kind::kRequest);
   parser.Feed(bytes);
   REQUIRE(parser.done());
--- a/tests/simulator_adapter/wire_codec_test.cpp
+++ b/tests/simulator_adapter/wire_codec_test.cpp
@@ -114,13 +114,13 @@
   std::string body = EveryRecord();
   auto records = DecodeBody(HeaderFor(body, kEveryCount), body);
   ASSERT_EQ(records.size(), 10u);
-  EXPECT_TRUE(std::holds_alternative<Born>(records[0].what));
+  EXPECT_TRUE(std::holds_alternative<InstanceStarted>(records[0].what));
   EXPECT_TRUE(std::get<RequestArrived>(std::get<Event>(records[2].what)).client_retry);
   const auto& end = std::get<AttemptEnded>(std::get<Event>(records[4].what));
   EXPECT_EQ(end.outcome, Outcome::kTimeout);
   EXPECT_EQ(end.report, std::vector<float>{1.0f});
   EXPECT_EQ(std::get<StreamStarted>(std::get<Event>(records[8].what)).attempt, 2);
-  EXPECT_TRUE(std::holds_alternative<Halted>(records[9].what));
+  EXPECT_TRUE(std::holds_alternative<InstanceStopped>(records[9].what));
 }
 
 TEST(WireDecoding, TruncationAtEveryOffsetIsAnError) {
