--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -8,7 +8,7 @@
 Command No(int status, std::string_view reason) { return {Verb::kNone, {}, 0, status, reason}; }
 Command Yes(Verb verb) { return {verb, {}, 0, 0, {}}; }
 
-// `after=` of a query, a plain number; absent: 0.
+// The number in `after=` of a query; 0 if absent.
 Command After(std::string_view query) {
   Command command = Yes(Verb::kFleet);
   if (query.empty()) return command;
@@ -19,7 +19,7 @@
   return command;
 }
 
-// The one `who=` of a query; an id is printable and has no separators, so nothing needs decoding.
+// The value of `who=`, which may occur once. Ids are printable without separators, so no decoding is needed.
 Command Who(Verb verb, std::string_view query) {
   std::string_view found;
   int count = 0;
--- a/src/admin/command.hpp
+++ b/src/admin/command.hpp
@@ -1,6 +1,5 @@
-// The operators' console: what one HTTP/1.1 request to the second address asks for. Pure: it is handed a
-// parsed request and knows no socket, file or clock. A request that asks for nothing it knows gets a status
-// that says why (4xx), never an exception.
+// Parses requests to the operators' console into commands. Pure: uses no socket, file or clock. An unknown or
+// invalid request yields an error status (4xx), never an exception.
 #ifndef DAPPLETILLER_ADMIN_COMMAND_HPP_
 #define DAPPLETILLER_ADMIN_COMMAND_HPP_
 
@@ -25,13 +24,13 @@
 
 struct Command {
   Verb verb = Verb::kNone;
-  std::string who;          // the worker's id as discovery lists it (detach, attach), or a member (reap)
-  std::uint64_t after = 0;  // fleet: only changes numbered above this
-  int status = 0;           // 0: a command; else the no to give at once (400, 404, 405)
-  std::string_view reason;  // a plain line for that no; static text
+  std::string who;  // the server's id as listed by discovery (detach, attach), or a member's name (reap)
+  std::uint64_t after = 0;  // fleet: only events numbered above this
+  int status = 0;           // 0: a valid command; otherwise the error status (400, 404, 405)
+  std::string_view reason;  // one-line description of the error; static text
 };
 
-// `method` and `target` as they stand in the request line; `target` may carry a query.
+// `method` and `target` of the request line; `target` may have a query.
 Command Read(std::string_view method, std::string_view target);
 
 }  // namespace dappletiller::console
--- a/src/admin/console.cpp
+++ b/src/admin/console.cpp
@@ -16,11 +16,11 @@
 
 }  // namespace
 
-class Console::Conn final : public StreamSocket::Callbacks {
+class Console::Connection final : public StreamSocket::Callbacks {
  public:
-  Conn(Console& console, std::uint64_t id)
+  Connection(Console& console, std::uint64_t id)
       : socket(console.loop_, *this), console_(console), id_(id), timer_(console.loop_) {
-    timer_.Set(kCallTime, [this] { Finish(408, "the call took too long to arrive"); });
+    timer_.Set(kConnectionTime, [this] { Finish(408, "the call took too long to arrive"); });
   }
 
   std::span<char> ReceiveBuffer() override {
@@ -31,7 +31,8 @@
     if (answered_) return;
     parser_.Commit(n);
     if (parser_.bad()) return Finish(parser_.error_status(), "the call is malformed or too large");
-    if (parser_.wants_continue()) parser_.continued();  // the body is not read: no console call has one
+    if (parser_.wants_continue())
+      parser_.continued();  // the body is not read, since no console request has one
     if (!parser_.done()) return;
     http::MessageRef request = parser_.TakeMessage();
     console::Command command = console::Read(request->method(), request->target());
@@ -56,8 +57,8 @@
     }
     http::WriteStatusResponse(status, text, 0, false, &socket.output(), type);
     socket.Flush();
-    // A sink that doesn't read its answer is not waited for.
-    timer_.Set(kCallTime, [this] { console_.Drop(id_); });
+    // Do not wait for a client that does not read its response.
+    timer_.Set(kConnectionTime, [this] { console_.Drop(id_); });
   }
 
   Console& console_;
@@ -88,22 +89,22 @@
     FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      return;  // EAGAIN, or no descriptor: the sink's connection waits in the kernel for its next edge
+      return;  // EAGAIN, or no descriptor: clients wait in the accept queue until the next event
     }
-    // Guards against silent callers holding every place: the one that has waited longest goes.
-    if (conns_.size() >= kMaxConnections) Drop(conns_.begin()->first);
-    auto conn = std::make_unique<Conn>(*this, ++ids_);
-    Conn& begun = *conn;
-    conns_[ids_] = std::move(conn);
+    // The oldest connection is closed, so that silent clients cannot use up all of them.
+    if (connections_.size() >= kMaxConnections) Drop(connections_.begin()->first);
+    auto conn = std::make_unique<Connection>(*this, ++ids_);
+    Connection& begun = *conn;
+    connections_[ids_] = std::move(conn);
     if (!begun.socket.Adopt(std::move(fd))) Drop(ids_);
   }
 }
 
 void Console::Drop(std::uint64_t id) {
-  auto it = conns_.find(id);
-  if (it == conns_.end()) return;
-  std::unique_ptr<Conn> owned = std::move(it->second);
-  conns_.erase(it);
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  std::unique_ptr<Connection> owned = std::move(it->second);
+  connections_.erase(it);
   owned->socket.Close();
   loop_.DeferDelete(std::move(owned));
 }
--- a/src/admin/console.hpp
+++ b/src/admin/console.hpp
@@ -1,7 +1,7 @@
-// The operators' console on the second address: one HTTP/1.1 call to a connection, answered and closed. The
-// driver only reads, parses with the byte-fed parser and writes; what a call means is the handler's.
-// Guards against callers that stall it: each connection has kCallTime in all, and at most kMaxConnections are
-// open, the oldest going first, so that a silent crowd never keeps a real sink waiting.
+// The HTTP/1.1 server of the operators' console: one request per connection. It reads and parses requests and
+// writes responses; the handler executes the commands. Connections are limited to kConnectionTime in total
+// and to kMaxConnections at a time, of which the oldest is closed first, so that silent clients cannot block
+// others.
 #ifndef DAPPLETILLER_ADMIN_CONSOLE_HPP_
 #define DAPPLETILLER_ADMIN_CONSOLE_HPP_
 
@@ -18,8 +18,8 @@
 namespace dappletiller {
 
 struct ConsoleReply {
-  int status = 200;  // 2xx yes, 4xx or 5xx no
-  std::string text;  // one plain line, or JSON
+  int status = 200;  // HTTP status
+  std::string text;  // one line of text, or JSON
   const char* type = "text/plain";
 };
 
@@ -33,17 +33,17 @@
 
 class Console final : private EventHandler {
  public:
-  static constexpr Micros kCallTime = 900'000;       // a sink waits 1 s at most
-  static constexpr std::size_t kMaxConnections = 8;  // of the descriptors that the process keeps for itself
+  static constexpr Micros kConnectionTime = 900'000;  // clients wait for at most 1 s
+  static constexpr std::size_t kMaxConnections = 8;   // included in the descriptors reserved by the process
 
   Console(EventLoop& loop, Log& log, ConsoleHandler& handler);
   ~Console();
   void Listen(const Endpoint& where);  // throws std::system_error
   std::uint16_t port() const { return port_; }
-  std::size_t connections() const { return conns_.size(); }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
-  class Conn;
+  class Connection;
   void OnReady(std::uint32_t events) override;
   void Drop(std::uint64_t id);
 
@@ -54,7 +54,7 @@
   EventLoop::WatchId token_ = 0;
   std::uint16_t port_ = 0;
   std::uint64_t ids_ = 0;
-  std::map<std::uint64_t, std::unique_ptr<Conn>> conns_;  // oldest first
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace dappletiller
--- a/src/base/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -10,7 +10,7 @@
 constexpr unsigned kMaxByte = 255;
 constexpr unsigned kMaxPort = 65535;
 
-// Takes a decimal number of at most `max`, and `end_mark` behind it, off the front of `text`.
+// Removes a decimal number of at most `max`, followed by `end_mark`, from the front of `text`.
 std::optional<unsigned> TakeNumber(unsigned max, char end_mark, std::string_view* text) {
   unsigned value = 0;
   const char* end = text->data() + text->size();
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -1,4 +1,4 @@
-// Where a socket is bound or connected to.
+// Addresses that sockets are bound or connected to.
 #ifndef DAPPLETILLER_BASE_ENDPOINT_HPP_
 #define DAPPLETILLER_BASE_ENDPOINT_HPP_
 
@@ -9,14 +9,14 @@
 
 namespace dappletiller {
 
-// An IPv4 address in host byte order, and a port. Port 0 means, for a listener, any that is free.
+// An IPv4 address in host byte order, and a port. For a listener, port 0 means any free port.
 struct Endpoint {
   std::uint32_t address = 0;
   std::uint16_t port = 0;
   bool operator==(const Endpoint&) const = default;
 };
 
-// Reads "a.b.c.d:port" in decimal; nothing if the text is anything else.
+// Parses "a.b.c.d:port" in decimal; nothing if the text has another form.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
 // Writes "a.b.c.d:port".
 std::string ToString(const Endpoint& endpoint);
--- a/src/base/payload.hpp
+++ b/src/base/payload.hpp
@@ -1,4 +1,4 @@
-// What a request or a response carries through the dispatcher unread.
+// The content of a request or response, which the dispatcher passes on without reading it.
 #ifndef DAPPLETILLER_BASE_PAYLOAD_HPP_
 #define DAPPLETILLER_BASE_PAYLOAD_HPP_
 
@@ -6,7 +6,7 @@
 
 namespace dappletiller {
 
-// Each protocol derives its own.
+// Base class; each protocol derives its own.
 class Payload {
  public:
   virtual ~Payload() = default;
--- a/src/base/result.hpp
+++ b/src/base/result.hpp
@@ -1,4 +1,4 @@
-// A value, or a typed error that says why there is none: what std::expected is in later standards.
+// A value or a typed error, like std::expected in later standards.
 #ifndef DAPPLETILLER_BASE_RESULT_HPP_
 #define DAPPLETILLER_BASE_RESULT_HPP_
 
@@ -15,8 +15,7 @@
 template <typename E>
 Failure(E) -> Failure<E>;
 
-// Either a T or an E. Reading the one that is not held is a programming error and throws
-// std::bad_variant_access.
+// Either a T or an E. Reading the wrong one is a programming error and throws std::bad_variant_access.
 template <typename T, typename E>
 class [[nodiscard]] Result {
  public:
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,7 +1,7 @@
-// Time as the program's parts see it: monotonic, in microseconds, always handed in by the caller.
+// Time types: monotonic, in microseconds, always passed in by the caller.
 //
-// Pure parts never read a clock. The event loop's clock is the only source (EventLoop::Now); a simulation
-// hands in its own. No two processes' clocks are compared beyond a drift that the comparing part states.
+// Pure code never reads a clock. The event loop's clock is the only source (EventLoop::Now); a simulation
+// passes in its own. Clocks of different processes are never compared, except up to a stated drift.
 #ifndef DAPPLETILLER_BASE_TIME_HPP_
 #define DAPPLETILLER_BASE_TIME_HPP_
 
@@ -14,7 +14,7 @@
 // written in terms of Duration and TimePoint (docs/ROADMAP.md lists them).
 using Micros = std::int64_t;
 
-// Names the clock that TimePoint counts on; it has no now(), since only the event loop may read one.
+// The clock of TimePoint. It has no now(), since only the event loop may read a clock.
 struct MonotonicClock {
   // NOLINTBEGIN(readability-identifier-naming): the standard's names for a clock's members
   using rep = std::int64_t;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -25,19 +25,19 @@
 namespace {
 
 constexpr const char* kVersion = "dappletiller 0.1.0";
-constexpr int kPatience = 2;  // seconds; a console answers within one
+constexpr int kTimeoutSeconds = 2;  // the console responds within a second
 
-struct Answer {
+struct ConsoleResponse {
   int status = 0;  // 0: none
   std::string body;
 };
 
-// One call of a console, as the operators' tools make it: plain blocking sockets with a time-out.
-Answer Call(const std::string& where, const std::string& method, const std::string& target) {
+// Sends one request to a console, with blocking sockets and a timeout.
+ConsoleResponse SendRequest(const std::string& where, const std::string& method, const std::string& target) {
   auto endpoint = ParseEndpoint(where);
   if (!endpoint) return {};
   FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  timeval patience{kPatience, 0};
+  timeval patience{kTimeoutSeconds, 0};
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
   sockaddr_in to{};
@@ -45,29 +45,30 @@
   to.sin_addr.s_addr = htonl(endpoint->address);
   to.sin_port = htons(endpoint->port);
   if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) return {};
-  std::string ask = method + " " + target + " HTTP/1.1\r\nHost: console\r\nConnection: close\r\n\r\n";
-  if (::send(fd.get(), ask.data(), ask.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(ask.size())) return {};
+  std::string request = method + " " + target + " HTTP/1.1\r\nHost: console\r\nConnection: close\r\n\r\n";
+  if (::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(request.size()))
+    return {};
   std::string text;
   std::array<char, 16384> bytes;
   for (ssize_t n; (n = ::recv(fd.get(), bytes.data(), bytes.size(), 0)) > 0;) {
     text.append(bytes.data(), static_cast<std::size_t>(n));
   }
-  // "HTTP/1.1 200 OK", head, empty line, body: the console closes after each answer.
+  // Status line, headers, empty line, body: the console closes the connection after each response.
   std::size_t end = text.find("\r\n\r\n");
   if (text.size() < 12 || end == std::string::npos) return {};
   return {std::atoi(text.c_str() + 9), text.substr(end + 4)};
 }
 
-int Told(const std::string& where, const Answer& answer) {
-  if (answer.status == 0) {
+int Told(const std::string& where, const ConsoleResponse& response) {
+  if (response.status == 0) {
     std::fprintf(stderr,
                  "dappletiller: no answer from the console at %s; is it a console's address, and does the "
                  "process run?\n",
                  where.c_str());
     return 1;
   }
-  if (answer.status >= 300) {
-    std::fprintf(stderr, "dappletiller: %d: %s", answer.status, answer.body.c_str());
+  if (response.status >= 300) {
+    std::fprintf(stderr, "dappletiller: %d: %s", response.status, response.body.c_str());
     return 1;
   }
   return 0;
@@ -81,14 +82,14 @@
 }
 
 int Members(const std::string& where, bool json) {
-  Answer answer = Call(where, "GET", "/_fleet");
-  if (int failed = Told(where, answer)) return failed;
+  ConsoleResponse response = SendRequest(where, "GET", "/_fleet");
+  if (int failed = Told(where, response)) return failed;
   if (json) {
-    std::fputs(answer.body.c_str(), stdout);
+    std::fputs(response.body.c_str(), stdout);
     return 0;
   }
   Json::Value root;
-  if (!Parse(answer.body, &root)) {
+  if (!Parse(response.body, &root)) {
     std::fprintf(stderr, "dappletiller: %s answered something that is not a view\n", where.c_str());
     return 1;
   }
@@ -107,14 +108,14 @@
   return 0;
 }
 
-// Prints changes as they come, until interrupted; ends with 1 once the console no longer answers.
+// Prints changes until interrupted; returns 1 if the console stops responding.
 int WatchMembers(const std::string& where, int limit) {
   std::uint64_t after = 0;
   for (int round = 0; limit == 0 || round < limit; ++round) {
-    Answer answer = Call(where, "GET", "/_fleet?after=" + std::to_string(after));
-    if (int failed = Told(where, answer)) return failed;
+    ConsoleResponse response = SendRequest(where, "GET", "/_fleet?after=" + std::to_string(after));
+    if (int failed = Told(where, response)) return failed;
     Json::Value root;
-    if (!Parse(answer.body, &root)) return 1;
+    if (!Parse(response.body, &root)) return 1;
     for (const Json::Value& e : root["events"]) {
       after = std::max<std::uint64_t>(after, e["number"].asUInt64());
       std::printf("%8.1f s ago  %s %s: %s\n", e["ago_ms"].asDouble() / 1000, e["name"].asCString(),
@@ -126,19 +127,20 @@
   return 0;
 }
 
-// What of the settings feed is in force in a running proxy; ends with 1 where it has none, or is cut off.
+// Prints the settings in force in a running proxy; returns 1 if it follows no feed or is disconnected from
+// it.
 int SettingsStatus(const std::string& where, bool json) {
-  Answer answer = Call(where, "GET", "/_settings");
-  if (int failed = Told(where, answer)) return failed;
+  ConsoleResponse response = SendRequest(where, "GET", "/_settings");
+  if (int failed = Told(where, response)) return failed;
   Json::Value root;
-  if (!Parse(answer.body, &root)) {
+  if (!Parse(response.body, &root)) {
     std::fprintf(stderr, "dappletiller: %s answered something that is no state of the settings\n",
                  where.c_str());
     return 1;
   }
   bool current = root["current"].asBool();
   if (json) {
-    std::fputs(answer.body.c_str(), stdout);
+    std::fputs(response.body.c_str(), stdout);
     return current ? 0 : 1;
   }
   std::printf("serial %s in force, %s entries; %s %s", root["serial"].asString().c_str(),
@@ -225,11 +227,11 @@
   }
   if (*members) return Members(console, json);
   if (*watch) return WatchMembers(console, rounds);
-  Answer answer;
-  if (*leave) answer = Call(console, "PUT", "/_fleet/leave");
-  if (*reap) answer = Call(console, "PUT", "/_fleet/reap?who=" + name);
-  if (int failed = Told(console, answer)) return failed;
-  std::fputs(answer.body.c_str(), stdout);
+  ConsoleResponse response;
+  if (*leave) response = SendRequest(console, "PUT", "/_fleet/leave");
+  if (*reap) response = SendRequest(console, "PUT", "/_fleet/reap?who=" + name);
+  if (int failed = Told(console, response)) return failed;
+  std::fputs(response.body.c_str(), stdout);
   return 0;
 }
 
--- a/src/cli/commands.hpp
+++ b/src/cli/commands.hpp
@@ -1,5 +1,5 @@
-// The command line: serve, check, fleet. Wires parts together and turns errors into exit codes; decides
-// nothing. Exit codes: 0 done, 1 it could not be done, 2 the words or the file are wrong.
+// The command line: serve, control, check, fleet, settings. Converts errors to exit codes: 0 success, 1
+// failure, 2 invalid arguments or file.
 #ifndef DAPPLETILLER_CLI_COMMANDS_HPP_
 #define DAPPLETILLER_CLI_COMMANDS_HPP_
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -58,8 +58,8 @@
   for (const std::string& seed : fleet.membership.seeds) Address(s, "seeds", seed);
   if (fleet.membership.seeds.size() > 16)
     s.Fail("seeds", "more than 16; a few are enough, the members tell of the rest");
-  auto millis = [&s](const char* key, Duration otherwise, double least, double most) {
-    const double milliseconds = s.Number(key, static_cast<double>(otherwise.count()) / 1000, least, most);
+  auto millis = [&s](const char* key, Duration default_value, double min, double max) {
+    const double milliseconds = s.Number(key, static_cast<double>(default_value.count()) / 1000, min, max);
     return Duration(static_cast<Micros>(milliseconds * 1000));
   };
   membership::Settings& m = fleet.membership;
@@ -105,9 +105,9 @@
       parts.Fail("keepers", "give 1 to 7 members by name, each once, the same for the whole fleet");
     }
     fleet.lease_duration = Duration(static_cast<Micros>(parts.Number("lease_ms", 3'000, 500, 60'000) * 1000));
-    parts.RefuseOthers();
+    parts.RejectUnknownKeys();
   }
-  s.RefuseOthers();
+  s.RejectUnknownKeys();
   return fleet;
 }
 
@@ -147,7 +147,7 @@
   if (feed.services.size() > kMaxFeedServices)
     s.Fail("services", "more than 200; a proxy takes the services that it works with");
   feed.snapshot_rate = s.Number("whole_bytes_per_s", 20'000, 1'000, 1e9);
-  s.RefuseOthers();
+  s.RejectUnknownKeys();
   return feed;
 }
 
@@ -162,7 +162,7 @@
   control.others = ControlMachines(s, "others");
   control.origin = s.Text("origin");
   control.snapshot_slots = s.Count("places", control.snapshot_slots, 1, 1'000);
-  s.RefuseOthers();
+  s.RejectUnknownKeys();
   return control;
 }
 
@@ -187,7 +187,7 @@
     file.settings_feed = ReadSettingsFeed(Section(*feed, name, "settings_feed"));
   if (const toml::table* control = top.Table("control"))
     file.control = ReadControl(Section(*control, name, "control"));
-  top.RefuseOthers();
+  top.RejectUnknownKeys();
   return file;
 }
 
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,6 +1,6 @@
-// The operators' own file (TOML): what the platform's configuration doesn't say. Without it the program is
-// exactly what the platform starts. Reads a text, touches no file but the key's, which the sink hands over
-// as a function. Throws OperatorError (section.hpp): file, line, key, remedy.
+// The operator file (TOML): settings beyond the platform's configuration. Optional. Parses a text; key files
+// are read through a function that the caller passes. Throws OperatorError (section.hpp) with file, line, key
+// and remedy.
 #ifndef DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
 #define DAPPLETILLER_CONFIG_OPERATOR_FILE_HPP_
 
@@ -18,25 +18,27 @@
 namespace dappletiller::operators {
 
 struct FleetOptions {
-  std::string name;  // of the fleet: messages of another are not heard
+  std::string name;  // of the fleet; messages of other fleets are ignored
   std::string self;  // of this member; empty: the configuration's name
   std::string zone;  // empty: the configuration's
   Endpoint bind;
-  std::string advertise;  // where the others reach this one; empty: what is bound
+  std::string advertise;  // address for other members; empty: the bound address
   std::string key_file;
   std::vector<membership::Key> keys;
-  membership::Settings membership;            // intervals and seeds; the rest is filled in at the start
-  std::map<std::string, Endpoint> addresses;  // advertised, and where it is dialled from here
-  std::vector<std::string> lease_granters;  // of quota leases; none: shares stay as the settings' number says
+  membership::Settings membership;            // intervals and seeds; the rest is filled in at startup
+  std::map<std::string, Endpoint> addresses;  // advertised address to the address that is used from here
+  std::vector<std::string>
+      lease_granters;  // of quota leases; empty: shares follow from the number of proxies in the settings
   Duration lease_duration = std::chrono::seconds(3);
 };
 
 // A proxy that follows the configuration feed (docs/feed.md).
 struct SettingsFeedOptions {
-  std::vector<std::string> nearby;    // config servers of its region, by address
-  std::vector<std::string> others;    // asked once none of these answers
-  std::vector<std::string> services;  // whose entries it takes, beside those of all services
-  double snapshot_rate = 0;           // bytes a second for a snapshot
+  std::vector<std::string> nearby;  // config servers of its region, by address
+  std::vector<std::string> others;  // used if none of these responds
+  std::vector<std::string>
+      services;              // services whose entries it follows, in addition to those for all services
+  double snapshot_rate = 0;  // bytes per second for a snapshot
 };
 
 // A config server of the configuration feed.
@@ -44,8 +46,8 @@
   std::string name;
   Endpoint bind;
   std::vector<std::string> others;  // the other replicas, by address
-  std::string origin;               // the origin's file, where this replica is the origin
-  int snapshot_slots = 16;          // snapshots sent at once
+  std::string origin;               // path of the origin's file if this replica is the origin
+  int snapshot_slots = 16;          // maximum number of concurrent snapshots
 };
 
 struct OperatorFile {
@@ -56,11 +58,11 @@
   std::optional<ControlOptions> control;
 };
 
-// What a key file holds; throws std::runtime_error with a line that says what is wrong with it.
+// Returns the contents of a key file; throws std::runtime_error with a one-line description.
 using ReadFile = std::function<std::string(const std::string& path)>;
 
 OperatorFile ParseOperatorFile(std::string_view text, const std::string& name, const ReadFile& read);
-// From the disk. A key file that others than its owner can read is refused.
+// Loads the file from disk. A key file that is readable by others than its owner is rejected.
 OperatorFile LoadOperatorFile(const std::string& path);
 
 }  // namespace dappletiller::operators
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -27,7 +27,7 @@
   return value;
 }
 
-std::string Plain(const Json::Value& value) {
+std::string ToPlainText(const Json::Value& value) {
   std::string text;
   if (value.isIntegral() && !value.isBool()) {
     text = value.asString();
@@ -43,8 +43,8 @@
   return text;
 }
 
-// Nested JSON as the path=value lines in which the adapter gets the same settings, so that both give every
-// name the same meaning.
+// Converts nested JSON to the path=value lines in which the simulator adapter receives the same settings, so
+// that both use the same parser.
 void Flatten(const std::string& path, const Json::Value& value, std::string* lines) {
   if (value.isObject()) {
     for (const std::string& name : value.getMemberNames()) {
@@ -53,7 +53,7 @@
     return;
   }
   if (!value.isArray()) {
-    *lines += path + "=" + Plain(value) + "\n";
+    *lines += path + "=" + ToPlainText(value) + "\n";
     return;
   }
   bool plain = std::none_of(value.begin(), value.end(), [](const Json::Value& v) { return v.isObject(); });
@@ -61,10 +61,10 @@
     std::string list;
     for (const Json::Value& v : value) {
       if (!list.empty()) list.push_back(',');
-      list += Plain(v);
+      list += ToPlainText(v);
     }
     *lines += path + "=" + list + "\n";
-    // An empty list may be one of objects.
+    // An empty list may be a list of objects.
     if (value.empty()) *lines += path + ".count=0\n";
     return;
   }
@@ -111,7 +111,7 @@
   return *endpoint;
 }
 
-int PlaceOf(const std::vector<std::string>& names, const std::string& name) {
+int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
@@ -130,9 +130,9 @@
   if (entry.state != EndpointState::kRemoved || value.isMember("endpoint")) {
     entry.endpoint = Address(value, "endpoint");
   }
-  entry.zone = PlaceOf(names.zones, Text(value, "az"));
-  // A kind that the settings don't name still is a kind of its own.
-  entry.kind = value.isMember("model") ? PlaceOf(names.kinds, Text(value, "model")) : -1;
+  entry.zone = IndexOf(names.zones, Text(value, "az"));
+  // All kinds that the settings do not list count as one kind of their own.
+  entry.kind = value.isMember("model") ? IndexOf(names.kinds, Text(value, "model")) : -1;
   if (value.isMember("pod_group")) entry.cell = static_cast<int>(Number(value, "pod_group"));
   if (value.isMember("capacity_hint")) entry.concurrency = Number(value, "capacity_hint");
   if (value.isMember("boot_ms")) entry.boot_unix = static_cast<Micros>(Number(value, "boot_ms")) * 1000;
@@ -158,12 +158,12 @@
   if (root.isMember("console")) config.console = Address(root, "console");
   config.discovery = Address(root, "discovery");
   config.discovery_text = Text(root, "discovery");
-  const Json::Value& limits_told = Member(root, "limits");
-  config.sockets = static_cast<std::size_t>(Number(limits_told, "sockets"));
-  if (config.sockets < 40) throw ConfigError("limits.sockets leaves no room to work");
-  if (limits_told.isMember("memory_mb")) {
-    double megabytes = Number(limits_told, "memory_mb");
-    if (!(megabytes >= 1)) throw ConfigError("limits.memory_mb leaves no room to work");
+  const Json::Value& process_limits = Member(root, "limits");
+  config.sockets = static_cast<std::size_t>(Number(process_limits, "sockets"));
+  if (config.sockets < 40) throw ConfigError("limits.sockets is too small");
+  if (process_limits.isMember("memory_mb")) {
+    double megabytes = Number(process_limits, "memory_mb");
+    if (!(megabytes >= 1)) throw ConfigError("limits.memory_mb is too small");
     config.memory = static_cast<std::size_t>(megabytes) << 20;
   }
   const Json::Value& settings = Member(root, "settings");
@@ -176,7 +176,7 @@
   config.settings = balancer::wire::ParseSettings(lines, number);
   config.settings_text = std::move(lines);
   for (const Json::Value& c : Member(settings, "classes")) config.classes.push_back(Text(c, "name"));
-  // Sites without tenants may leave the list out.
+  // The list is optional.
   for (const Json::Value& t : settings["tenants"]) config.tenants.push_back(Text(t, "name"));
   config.names.zones = Strings(settings, "zones");
   config.names.kinds = Strings(settings, "kinds");
@@ -199,7 +199,7 @@
     return ReadConfig(ParseJson(json));
   } catch (const ConfigError&) {
     throw;
-  } catch (const std::exception& e) {  // the reader's limits, the settings' own errors
+  } catch (const std::exception& e) {  // limits of the JSON reader, errors in the settings
     throw ConfigError(e.what());
   }
 }
--- a/src/config/platform_config.hpp
+++ b/src/config/platform_config.hpp
@@ -1,4 +1,4 @@
-// The configuration file: JSON to the module's settings and to what the network code needs of them.
+// Parses the configuration file (JSON) into the module's settings and the options of the network code.
 #ifndef DAPPLETILLER_CONFIG_PLATFORM_CONFIG_HPP_
 #define DAPPLETILLER_CONFIG_PLATFORM_CONFIG_HPP_
 
@@ -13,13 +13,13 @@
 
 namespace dappletiller {
 
-// What is wrong with the configuration, in one plain line.
+// Invalid configuration; what() is a one-line description.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The names by which discovery's entries speak of zones and kinds of machines.
+// The names of zones and hardware kinds in discovery's entries, by index.
 struct Names {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
@@ -28,16 +28,16 @@
 struct Config {
   std::string name;
   Endpoint listen;
-  std::optional<Endpoint> console;  // the operators' second address; none on days without it
+  std::optional<Endpoint> console;  // address of the operators' console, if any
   Endpoint discovery;
   std::string discovery_text;
   std::size_t sockets = 1024;
-  std::size_t memory = 0;  // bytes that the process may take; 0: not told
+  std::size_t memory = 0;  // memory limit of the process in bytes; 0: unknown
   EndpointList known;
   balancer::Settings settings;
-  std::string settings_text;  // the same as path=value lines, to tell whether they have changed
+  std::string settings_text;  // the settings as path=value lines, to detect changes
   std::vector<std::string> classes;
-  std::vector<std::string> tenants;  // names, by place; may be none
+  std::vector<std::string> tenants;  // names, by index; may be empty
   Names names;
   Micros dial_timeout = 0;
   Micros idle_timeout = 0;
@@ -46,7 +46,7 @@
 };
 
 Config ParseConfig(std::string_view json);  // throws ConfigError
-// A list in discovery's form; nothing if it is malformed.
+// Parses a list in discovery's format; nothing if it is malformed.
 std::optional<EndpointList> ParseList(std::string_view json, const Names& names);
 
 }  // namespace dappletiller
--- a/src/config/section.cpp
+++ b/src/config/section.cpp
@@ -20,39 +20,39 @@
 }
 
 const toml::node* Section::Find(std::string_view key) {
-  asked_.insert(std::string(key));
+  read_keys_.insert(std::string(key));
   return table_.get(key);
 }
 
-double Section::Number(std::string_view key, double otherwise, double least, double most) {
+double Section::Number(std::string_view key, double default_value, double min, double max) {
   const toml::node* node = Find(key);
-  if (node == nullptr) return otherwise;
+  if (node == nullptr) return default_value;
   auto value = node->value<double>();
   if (!value || !node->is_number()) Fail(key, "is not a number");
-  if (!(*value >= least && *value <= most)) {
+  if (!(*value >= min && *value <= max)) {
     std::ostringstream range;
-    range << "is out of range; give a number from " << least << " to " << most;
+    range << "is out of range; give a number from " << min << " to " << max;
     Fail(key, range.str());
   }
   return *value;
 }
 
-int Section::Count(std::string_view key, int otherwise, int least, int most) {
-  double value = Number(key, otherwise, least, most);
+int Section::Count(std::string_view key, int default_value, int min, int max) {
+  double value = Number(key, default_value, min, max);
   if (value != static_cast<int>(value)) Fail(key, "is not a whole number");
   return static_cast<int>(value);
 }
 
-bool Section::Flag(std::string_view key, bool otherwise) {
+bool Section::Flag(std::string_view key, bool default_value) {
   const toml::node* node = Find(key);
-  if (node == nullptr) return otherwise;
+  if (node == nullptr) return default_value;
   if (!node->is_boolean()) Fail(key, "is neither true nor false");
   return *node->value<bool>();
 }
 
-std::string Section::Text(std::string_view key, const std::string& otherwise) {
+std::string Section::Text(std::string_view key, const std::string& default_value) {
   const toml::node* node = Find(key);
-  if (node == nullptr) return otherwise;
+  if (node == nullptr) return default_value;
   if (!node->is_string()) Fail(key, "is not a string; put it in quotes");
   return *node->value<std::string>();
 }
@@ -96,9 +96,9 @@
   return node->as_array();
 }
 
-void Section::RefuseOthers() const {
+void Section::RejectUnknownKeys() const {
   for (const auto& [key, node] : table_) {
-    if (asked_.count(std::string(key.str())) == 0)
+    if (read_keys_.count(std::string(key.str())) == 0)
       Fail(key.str(), "is not known here; remove it or mend its name");
   }
 }
--- a/src/config_feed/client/feed_client.cpp
+++ b/src/config_feed/client/feed_client.cpp
@@ -16,7 +16,7 @@
 using config_feed::StorePosition;
 
 constexpr int kOk = 200;
-constexpr int kConflict = 409;            // the server is behind
+constexpr int kConflict = 409;            // the server is behind this follower
 constexpr int kServiceUnavailable = 503;  // no slot for a snapshot
 
 // Seconds with a fraction, as http::WriteStatusResponse writes them; 0 for anything else.
@@ -49,7 +49,7 @@
   ScheduleNextRequest();
 }
 
-// Never from within a callback of the client: the next request may need another connection.
+// Not sent from within a callback of the client, since the next request may need another connection.
 void FeedClient::ScheduleNextRequest() {
   const Micros due = follower_.due();
   if (due == config_feed::Follower::kNever) return;
@@ -74,7 +74,7 @@
   client_.Get(*where, request->server, target, request->timeout);
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
 void FeedClient::OnResponse(const http::Message& response) {
   if (response.status() == kServiceUnavailable) {
@@ -94,7 +94,7 @@
 
 void FeedClient::OnServerBehind() {
   if (!follower_.polls_replicas()) {
-    log_.Info("settings feed: %s is behind serial %llu, another is asked", server_.c_str(),
+    log_.Info("settings feed: %s is behind serial %llu; trying another server", server_.c_str(),
               static_cast<unsigned long long>(follower_.store().head().serial));
   }
   follower_.OnServerBehind(loop_.Now());
@@ -107,14 +107,14 @@
   const std::vector<config_feed::Change> changes =
       follower_.OnPage(loop_.Now(), page, client_.response_size());
   if (follower_.failures() > 0) {
-    log_.Info("settings feed: %s sent what does not follow on serial %llu; not taken", server_.c_str(),
+    log_.Info("settings feed: %s sent a page that does not follow serial %llu; ignored", server_.c_str(),
               static_cast<unsigned long long>(before.serial));
     ++counters_.failures;
     ScheduleNextRequest();
     return;
   }
   if (std::exchange(logged_no_server_, false)) {
-    log_.Important("settings feed: %s answers again after %d failures", server_.c_str(), failures);
+    log_.Important("settings feed: %s responds again after %d failures", server_.c_str(), failures);
   }
   changes_since_logged_ += changes.size();
   counters_.changes += changes.size();
@@ -143,7 +143,7 @@
   const int servers = static_cast<int>(follower_.server_count());
   if (failures <= servers) log_.Info("settings feed: %s failed: %s", server_.c_str(), why);
   if (failures == servers && !std::exchange(logged_no_server_, true)) {
-    log_.Write(Log::Level::kWarn, "settings feed: no control machine answers; serial %llu stays in force",
+    log_.Write(Log::Level::kWarn, "settings feed: no config server responds; serial %llu stays in force",
                static_cast<unsigned long long>(follower_.store().head().serial));
   }
   ScheduleNextRequest();
--- a/src/config_feed/client/feed_client.hpp
+++ b/src/config_feed/client/feed_client.hpp
@@ -1,5 +1,5 @@
-// Follows the configuration feed over HTTP/1.1: drives a Follower, in proxies, config servers and simulated
-// proxies. It decides nothing: which server to ask and what an answer means is the Follower's.
+// Follows the configuration feed over HTTP/1.1 by driving a Follower, in proxies, config servers and
+// simulated proxies. The Follower decides which server to use and how responses are handled.
 //
 // Lives on the event loop; nothing throws.
 #ifndef DAPPLETILLER_CONFIG_FEED_CLIENT_FEED_CLIENT_HPP_
@@ -19,8 +19,8 @@
 
 class SettingsObserver {
  public:
-  // What is in force now and was not, or is no longer; the follower's store holds it already. Also called,
-  // without changes, where only the position has moved on.
+  // Entries that came into force, changed or were removed; the follower's store is already updated. Also
+  // called without changes if only the position has advanced.
   virtual void OnSettingsChanged(const std::vector<config_feed::Change>& changes) = 0;
 
  protected:
@@ -29,7 +29,7 @@
 
 class FeedClient final : private http::Client::Owner {
  public:
-  // Since the start.
+  // Counted since startup.
   struct Counters {
     std::uint64_t requests = 0;
     std::uint64_t failures = 0;
@@ -42,7 +42,7 @@
              SettingsObserver& observer);
 
   void Start() { ScheduleNextRequest(); }
-  // To be called after SetScope, SetServers or Publish of the follower: gives up the request that is out, and
+  // Must be called after SetScope, SetServers or Publish of the follower: abandons the current request and
   // sends the next one.
   void RestartRequest();
 
@@ -50,7 +50,7 @@
   std::uint64_t bytes_in() const { return client_.bytes_received(); }  // of HTTP
   std::uint64_t bytes_out() const { return client_.bytes_sent(); }
   const config_feed::Follower& follower() const { return follower_; }
-  // For the console: what is in force, since when and from which server.
+  // For the console: the settings in force, since when and from which server.
   std::string StatusJson() const;
 
  private:
@@ -70,7 +70,7 @@
   SettingsObserver& observer_;
   http::Client client_;
   Timer next_request_;
-  std::string server_;  // that was asked last
+  std::string server_;  // server of the last request
   bool logged_no_server_ = false;
   std::uint64_t logged_serial_ = 0;
   std::size_t changes_since_logged_ = 0;
--- a/src/config_feed/config_server.hpp
+++ b/src/config_feed/config_server.hpp
@@ -1,9 +1,8 @@
-// One replica of the config servers: follows the others with everything in scope, by the same Follower as a
-// proxy, and answers whoever follows it.
-//
-// The one with the origin's file publishes what the file says while its serial is above all that the others
-// hold; with an older file it only follows. There is no election: which replica is the origin is the
-// operators' decision, and a second origin is recognised by its serial. Pure: time comes in. Not thread-safe.
+// One replica of the config servers: follows the others with everything in scope, using the same Follower as
+// a proxy, and answers its own followers. The replica with the origin's file publishes it if its serial is
+// above those of all others; with an older file it only follows. There is no election: operators decide which
+// replica is the origin, and a second origin is detected by its serial. Pure: time is passed in. Not
+// thread-safe.
 #ifndef DAPPLETILLER_CONFIG_FEED_CONFIG_SERVER_HPP_
 #define DAPPLETILLER_CONFIG_FEED_CONFIG_SERVER_HPP_
 
@@ -22,27 +21,27 @@
 struct Response {
   enum class Kind {
     kPage,
-    kWait,   // nothing is new: ask again once something is
+    kWait,   // no changes yet: the request can wait
     kBusy,   // no slot for a snapshot
-    kBehind  // the follower stands ahead of this replica
+    kBehind  // the follower is ahead of this replica
   };
   Kind kind = Kind::kWait;
   Page page;
   Micros retry_after = 0;  // of kBusy
 };
 
-// What a request that finds nothing new gets: kWait, or a page without changes.
+// Response to a request without new changes: kWait, or an empty page.
 enum class IfUnchanged { kWait, kAnswer };
 
 enum class PublishResult {
-  kPublished,     // what the file says is in force from here on
-  kUnchanged,     // the others hold just that
-  kNotSettled,    // whether the others hold something is not known yet: try again later
+  kPublished,     // the file's contents are in force from now on
+  kUnchanged,     // the other replicas hold the same entries
+  kNotSettled,    // the state of the other replicas is not known yet: try again later
   kSerialTooLow,  // the file's serial is below the fleet's: this replica follows
-  kSerialReused   // the same serial with other entries: refused
+  kSerialReused   // the same serial with other entries: rejected
 };
 
-// Against what the origin's file is to be compared.
+// What the origin's file is compared with.
 enum class Baseline {
   kLastReading,  // this replica published the last reading
   kWholeStore
@@ -50,7 +49,7 @@
 
 class ConfigServer {
  public:
-  // `snapshot_slots`: snapshots that are sent at once. The scope of `options` is set to everything.
+  // `snapshot_slots`: maximum number of concurrent snapshots. The scope of `options` is set to everything.
   ConfigServer(FollowerOptions options, std::size_t snapshot_slots);
 
   Follower& follower() { return follower_; }
@@ -60,9 +59,9 @@
   Response HandleRequest(Micros now, const std::string& follower, const PageRequest& request,
                          IfUnchanged if_unchanged);
 
-  // `changes_since` returns how the file differs from a baseline; it is called at most once. `epoch` is for a
-  // new line of versions, above all earlier ones (the wall clock). `touched` receives the services that are
-  // touched.
+  // `changes_since` returns how the file differs from a baseline; it is called at most once. `epoch` is used
+  // if a new sequence of versions begins; it must be above all earlier ones (the wall clock). `touched`
+  // receives the affected services.
   PublishResult Publish(Micros now, std::uint64_t serial,
                         const std::function<std::vector<Change>(Baseline)>& changes_since,
                         std::uint64_t epoch, ServiceSet* touched);
@@ -72,8 +71,8 @@
 
   Follower follower_;
   SnapshotAdmission admission_;
-  std::uint64_t own_epoch_ = 0;   // that this replica began; 0: none
-  std::uint64_t own_serial_ = 0;  // that it published last
+  std::uint64_t own_epoch_ = 0;   // epoch that this replica began; 0: none
+  std::uint64_t own_serial_ = 0;  // serial that it published last
 };
 
 }  // namespace dappletiller::config_feed
--- a/src/config_feed/effective_entries.hpp
+++ b/src/config_feed/effective_entries.hpp
@@ -1,6 +1,6 @@
-// Which entry is in effect where several services give one name. A name that several services of the scope
-// give is in effect as the first of them in alphabetical order says; as that of all services (`*`) only where
-// none of them does. A change costs by the number of services in scope. Pure.
+// Determines the entry in effect if several services define the same name: the first service of the scope in
+// alphabetical order, or that of all services (`*`) if none of them defines it. The cost of a change is
+// proportional to the number of services in scope. Pure.
 #ifndef DAPPLETILLER_CONFIG_FEED_EFFECTIVE_ENTRIES_HPP_
 #define DAPPLETILLER_CONFIG_FEED_EFFECTIVE_ENTRIES_HPP_
 
@@ -15,10 +15,10 @@
 struct EffectiveEntry {
   std::string kind;
   std::string name;
-  std::optional<std::string> value;  // none: no service gives this name any more
+  std::optional<std::string> value;  // none: no service defines this name any more
 };
 
-// What `changes`, which `store` has taken already, mean for the names that they touch; each name once.
+// The entries in effect for the names that `changes` affect, each once. `store` already contains the changes.
 std::vector<EffectiveEntry> ResolveEntries(const Store& store, const Scope& scope,
                                            const std::vector<Change>& changes);
 
--- a/src/config_feed/entry.hpp
+++ b/src/config_feed/entry.hpp
@@ -1,7 +1,7 @@
-// Entries of the configuration feed, and the pages in which they travel.
+// Entries of the configuration feed, and the pages in which they are transferred.
 //
-// A key is `kind/service/name` (tenant/plan-7/acme); its service says which proxies need it, `*` all of them.
-// A value is opaque text.
+// A key is `kind/service/name` (tenant/plan-7/acme); its service determines which proxies need it, `*` for
+// all of them. A value is opaque text.
 #ifndef DAPPLETILLER_CONFIG_FEED_ENTRY_HPP_
 #define DAPPLETILLER_CONFIG_FEED_ENTRY_HPP_
 
@@ -30,10 +30,11 @@
   std::string_view service;
   std::string_view name;
 };
-// Nothing unless it is three parts of printable characters without `/` (a name may hold it), within bounds.
+// Nothing unless the text consists of three parts of printable characters, within bounds and without `/`
+// (except in a name).
 std::optional<Key> ParseKey(std::string_view text);
 
-// Where a store stands. Positions are ordered by serial, epoch, version, and nobody goes back in that order.
+// The position of a store. Positions are ordered by serial, epoch and version, and never decrease.
 struct StorePosition {
   std::uint64_t serial =
       0;  // the operators', raised with each change, as a zone's in the DNS (RFC 1982, no wrap)
@@ -43,7 +44,7 @@
   std::strong_ordering operator<=>(const StorePosition&) const = default;
 };
 
-// Which entries a follower takes: those of its services and of all services, or all there are.
+// The entries that a follower needs: those of its services and of all services, or everything.
 struct Scope {
   bool all = false;
   ServiceSet services;
@@ -60,7 +61,8 @@
   bool operator==(const Change&) const = default;
 };
 
-// An epoch that a later one goes on from, up to this version (as the timelines of PostgreSQL's recovery).
+// An earlier epoch that was continued by a later one from this version on (as the timelines of PostgreSQL's
+// recovery).
 struct Ancestor {
   std::uint64_t epoch = 0;
   std::uint64_t version = 0;
@@ -69,18 +71,17 @@
 
 // Part of a delta, or of a snapshot.
 struct Page {
-  StorePosition head;        // where the sender stands
-  std::uint64_t up_to = 0;   // all changes up to this version have been sent with this page
-  bool is_snapshot = false;  // what the follower held is to be replaced once the last page is here
-  std::uint64_t after = 0;   // the version that the pages before had come to
+  StorePosition head;        // position of the sender
+  std::uint64_t up_to = 0;   // with this page, all changes up to this version have been sent
+  bool is_snapshot = false;  // replaces the follower's entries when the last page has been received
+  std::uint64_t after = 0;   // version reached by the previous pages
   std::vector<Ancestor> ancestors;
   std::vector<Change> changes;
   bool is_last() const { return up_to >= head.version; }
 };
 
 struct PageRequest {
-  // Where the follower stands. While it loads a snapshot: the serial in force, and how far the snapshot has
-  // come.
+  // The follower's position. While it loads a snapshot: the serial in force and the snapshot's progress.
   StorePosition position;
   std::optional<std::uint64_t>
       snapshot_began_at;  // while it loads a snapshot: the head's version when it began
--- a/src/config_feed/follower.cpp
+++ b/src/config_feed/follower.cpp
@@ -64,7 +64,7 @@
     request.page.position.version = loading_->store.head().version;
     request.page.snapshot_began_at = loading_->began_at;
   } else if (!(wanted_scope_ == scope_)) {
-    // Of this scope nothing is here.
+    // Nothing of this scope has been received.
     request.page.position.epoch = 0;
     request.page.position.version = 0;
   }
@@ -73,7 +73,7 @@
   return request;
 }
 
-// The first request to a server doesn't wait: what was missed is known at once.
+// The first request to a server has no wait, so that missed changes are received immediately.
 Micros Follower::WaitFor(const PageRequest& request) const {
   const bool has_missed = loading_ || request.position.epoch == 0 || failures_ > 0 || complete_at_ < 0;
   if (has_missed) return 0;
@@ -83,7 +83,7 @@
 
 // ---- Pages ----
 
-// A server with old settings, or an epoch that lost.
+// Whether the page is from a server with older settings or a superseded epoch.
 bool Follower::IsOlder(const Page& page) const {
   const StorePosition& held = store_.head();
   if (page.head.serial != held.serial) return page.head.serial < held.serial;
@@ -101,7 +101,7 @@
   return true;
 }
 
-// Whether a page joins what is here: not the answer to another request, and no gap before it.
+// Whether a page continues the current position: it answers this request and leaves no gap.
 bool Follower::Continues(const Page& page) const {
   if (!HasOrderedVersions(page)) return false;
   if (page.is_snapshot) {
@@ -140,7 +140,7 @@
   if (!loading_ || page.after == 0) loading_.emplace(LoadingSnapshot{Store(), page.head.version});
   loading_->store.Apply(page);
   if (page.is_last()) return FinishSnapshot();
-  // Paced, so that a snapshot leaves room for all else that a proxy is sent.
+  // Paced, so that a snapshot does not use up the proxy's bandwidth.
   if (options_.snapshot_rate > 0) {
     due_ += static_cast<Micros>(1e6 * static_cast<double>(size) / options_.snapshot_rate);
   }
@@ -158,7 +158,7 @@
   return changes;
 }
 
-// The snapshot is in force from here on; the difference is returned.
+// Puts the snapshot into force and returns the differences.
 std::vector<Change> Follower::FinishSnapshot() {
   std::vector<Change> changes;
   const Store& loaded = loading_->store;
@@ -188,7 +188,7 @@
   current_ = newest_ = BestOtherServer(now);
   return_at_ = now + kReturnInterval;
   due_ = now + static_cast<Micros>(kJitter * Uniform());
-  // Once all have failed in a row a back-off, so that servers that come back are not overrun.
+  // Backs off after all servers have failed in a row, so that recovering servers are not overloaded.
   const int count = static_cast<int>(servers_.size());
   ++failures_until_backoff_;
   if (failures_until_backoff_ % count != 0) return;
@@ -197,7 +197,7 @@
   due_ = now + static_cast<Micros>(static_cast<double>(backoff) * (0.5 + 0.5 * Uniform()));
 }
 
-// The first in order that has not failed of late, else the one whose failure is the longest ago.
+// The first server that has not failed recently, or else the one whose failure is the longest ago.
 std::size_t Follower::BestOtherServer(Micros now) const {
   std::size_t best = current_;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -215,12 +215,13 @@
 void Follower::OnBusy(Micros now, Micros retry_after) {
   request_is_out_ = false;
   failures_ = failures_until_backoff_ = 0;
-  // It has a turn there, which another server would not know of.
+  // The server has assigned a turn, which another server would not know.
   const Micros wait = std::clamp<Micros>(retry_after, kJitter, kMaxRetryAfter);
   due_ = now + wait + static_cast<Micros>(kJitter * Uniform());
 }
 
-// In one that polls the replicas, a replica that is behind has not failed: the origin finds only such.
+// For a follower that polls replicas, a replica that is behind has not failed; the origin finds only such
+// replicas.
 void Follower::OnServerBehind(Micros now) {
   if (!options_.polls_replicas) {
     LeaveServer(now);
@@ -233,8 +234,8 @@
   due_ = now + static_cast<Micros>(static_cast<double>(kReplicaPollInterval) * (0.5 + 0.5 * Uniform()));
 }
 
-// From the replica that had the latest change to the next of the others, and back: two that follow one
-// another would else never learn of a third.
+// Alternates between the replica with the latest change and the others in turn. Otherwise two replicas that
+// follow each other would never learn of a third.
 void Follower::PollNextReplica(Micros now) {
   if (current_ != newest_) {
     current_ = newest_;
--- a/src/config_feed/origin_file.cpp
+++ b/src/config_feed/origin_file.cpp
@@ -84,7 +84,7 @@
   reading.serial = scan.serial;
   reading.entries = scan.lines.size();
   reading.changes = MakeChanges(changed);
-  // Nothing fails from here on.
+  // No errors are possible from here on.
   Commit(std::move(scan), reading.changes);
   return reading;
 }
@@ -121,7 +121,7 @@
   }
 }
 
-// The entry of a line that is gone is removed, unless a new line gives it another value.
+// The entry of a removed line is removed, unless a new line gives it another value.
 OriginFile::ChangedValues OriginFile::FindChangedValues(const Scan& scan) const {
   ChangedValues changed;
   if (scan.kept_lines != lines_.size()) {
--- a/src/config_feed/origin_file.hpp
+++ b/src/config_feed/origin_file.hpp
@@ -3,10 +3,9 @@
 //   {"serial": 12}
 //   {"kind": "tenant", "service": "plan-7", "name": "acme", "value": {"portion": 0.01, "quotaRps": 5}}
 //   {"kind": "class", "service": "*", "name": "check", "value": {"giveUp": 800000, "effect": "free"}}
-//
-// A new text is compared with the last one by line, so that only lines that differ are parsed: a changed
-// entry costs its own line and the hashing of the file. Tenants and classes are checked for what proxies will
-// make of them; the values of other kinds are any JSON. Touches no file. Not thread-safe.
+// A new text is compared with the previous one by line, and only lines that differ are parsed: a changed
+// entry costs its own line and the hashing of the file. Tenants and classes are checked by the rules of the
+// proxies; the values of other kinds are any JSON. Does no file I/O. Not thread-safe.
 #ifndef DAPPLETILLER_CONFIG_FEED_ORIGIN_FILE_HPP_
 #define DAPPLETILLER_CONFIG_FEED_ORIGIN_FILE_HPP_
 
@@ -23,7 +22,7 @@
 
 namespace dappletiller::config_feed {
 
-// Names file, line, key and remedy.
+// States file, line, key and remedy.
 class OriginError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -38,14 +37,14 @@
   struct Reading {
     std::uint64_t serial = 0;
     std::vector<Change>
-        changes;  // against the reading before, at first all entries; sorted by key, without versions
+        changes;  // since the previous reading, initially all entries; sorted by key, without versions
     std::size_t entries = 0;
   };
-  // Throws OriginError; what was read before then stays.
+  // Throws OriginError; the previous reading then stays in effect.
   Reading Read(std::string_view text);
   bool has_been_read() const { return serial_ != 0; }
   std::uint64_t serial() const { return serial_; }
-  // How the last reading differs from a store that others held: to go on from there.
+  // Differences between the last reading and a store received from others.
   std::vector<Change> DifferencesTo(const Store& store) const;
 
  private:
@@ -55,11 +54,11 @@
     std::string value;
     std::size_t number = 0;  // in the file
   };
-  // What one pass over the text finds.
+  // Result of one pass over the text.
   struct Scan {
     std::uint64_t serial = 0;
-    std::unordered_map<std::string_view, std::size_t> lines;  // all entries' lines, to their numbers
-    std::vector<Line> new_lines;                              // that the last reading didn't have
+    std::unordered_map<std::string_view, std::size_t> lines;  // lines of all entries, with their numbers
+    std::vector<Line> new_lines;                              // lines that were not in the last reading
     std::size_t kept_lines = 0;
   };
   using ChangedValues = std::unordered_map<std::string_view, std::optional<std::string_view>>;
--- a/src/config_feed/page_codec.cpp
+++ b/src/config_feed/page_codec.cpp
@@ -23,7 +23,7 @@
   return error == std::errc() && stop == end;
 }
 
-// Whether a name can stand in a query as it is.
+// Whether a name needs no escaping in a query.
 bool IsPlainName(std::string_view text) {
   static constexpr std::string_view kReserved = "&=%,#?";
   return !text.empty() && text.size() <= kMaxKeyPartSize && std::all_of(text.begin(), text.end(), [](char c) {
@@ -31,7 +31,7 @@
   });
 }
 
-// Takes what stands before `separator` off the front of `text`.
+// Removes and returns the text before `separator`.
 std::string_view TakeUntil(char separator, std::string_view* text) {
   const std::string_view taken = text->substr(0, text->find(separator));
   text->remove_prefix(std::min(text->size(), taken.size() + 1));
--- a/src/config_feed/page_codec.hpp
+++ b/src/config_feed/page_codec.hpp
@@ -4,9 +4,8 @@
 //       all=1 in place of services: all entries; began=350: while a snapshot is loaded
 //   {"serial":13,"epoch":"7","version":351,"to":351,"after":340,"whole":false,"ancestors":[["5",300]],
 //    "changes":[[341,"tenant/plan-7/acme","{...}"],[351,"tenant/plan-7/gone"]]}
-//
-// Numbers that may pass 2^53 are strings. Anything malformed, doubled or out of bounds is refused whole.
-// Pure; nothing throws.
+// Numbers that may exceed 2^53 are strings. Malformed, repeated or out-of-bounds parts invalidate the whole
+// text. Pure; nothing throws.
 #ifndef DAPPLETILLER_CONFIG_FEED_PAGE_CODEC_HPP_
 #define DAPPLETILLER_CONFIG_FEED_PAGE_CODEC_HPP_
 
@@ -24,7 +23,7 @@
 struct FeedRequest {
   std::string follower;  // its name
   PageRequest page;
-  std::int64_t wait_ms = 0;  // for a change, at the server
+  std::int64_t wait_ms = 0;  // how long the server may wait for a change
 };
 
 std::string WriteRequest(const FeedRequest& request);
--- a/src/config_feed/snapshot_admission.hpp
+++ b/src/config_feed/snapshot_admission.hpp
@@ -1,13 +1,9 @@
-// How many snapshots a server of the feed sends at once. Deltas are never held back: a crowd that needs
-// snapshots, as when all proxies reconnect, must not keep the others from changes.
-//
-// A follower takes a slot by name with the first page of a snapshot and keeps it while it asks for the next
-// ones; the slot of one that falls silent is free again after kSlotTimeout. A follower that finds no free
-// slot is given a turn, one after another at the pace at which slots come free, and told when to come back.
-// So neither does a crowd come back together to find no slot again, nor is the follower that asks most often
-// served first.
-//
-// Pure: time comes in. Not thread-safe.
+// Limits how many snapshots a server of the feed sends concurrently. Deltas are not limited: many followers
+// that need snapshots, such as when all proxies reconnect, must not delay changes for the others. A follower
+// gets a slot with the first page of a snapshot and keeps it while it requests further pages; the slot of a
+// silent follower is released after kSlotTimeout. A follower without a slot gets a turn, assigned one after
+// another at the rate at which slots become free, and a time to retry. So rejected followers do not all retry
+// at the same time, and frequent retries give no advantage. Pure: time is passed in. Not thread-safe.
 #ifndef DAPPLETILLER_CONFIG_FEED_SNAPSHOT_ADMISSION_HPP_
 #define DAPPLETILLER_CONFIG_FEED_SNAPSHOT_ADMISSION_HPP_
 
@@ -27,7 +23,7 @@
 
   explicit SnapshotAdmission(std::size_t slots) : slots_(slots) {}
 
-  // 0: `follower` has a slot and may be sent a page. Else when it is to come back.
+  // 0: the follower has a slot. Otherwise, when it should retry.
   Micros Admit(const std::string& follower, Micros now);
   // Its last page has been sent.
   void Release(const std::string& follower, Micros now);
@@ -35,7 +31,7 @@
   std::size_t max_slots_in_use() const { return max_slots_in_use_; }  // so far
 
  private:
-  static constexpr std::size_t kMaxTurns = 8192;  // beyond it the wait is kMaxRetryAfter
+  static constexpr std::size_t kMaxTurns = 8192;  // if exceeded, the wait is kMaxRetryAfter
 
   struct Holder {
     Micros since = 0;
@@ -46,9 +42,10 @@
 
   std::size_t slots_;
   std::map<std::string, Holder> holders_;  // at most slots_
-  std::map<std::string, Micros> turns_;    // when each waiting follower's turn is; kept kSlotTimeout longer
-  Micros last_turn_ = 0;                   // the latest given
-  double usual_time_ = 100'000;            // that a snapshot takes, smoothed
+  std::map<std::string, Micros>
+      turns_;                    // time of each waiting follower's turn; kept for another kSlotTimeout
+  Micros last_turn_ = 0;         // the latest assigned turn
+  double usual_time_ = 100'000;  // smoothed duration of a snapshot
   std::size_t max_slots_in_use_ = 0;
 };
 
--- a/src/config_feed/store.cpp
+++ b/src/config_feed/store.cpp
@@ -6,14 +6,14 @@
 namespace dappletiller::config_feed {
 namespace {
 
-constexpr std::size_t kChangeOverhead = 16;  // bytes of a change beside its key and value
+constexpr std::size_t kChangeOverhead = 16;  // bytes of a change in addition to its key and value
 
 std::size_t SizeOf(std::string_view key, const std::optional<std::string>& value) {
   return key.size() + (value ? value->size() : 0) + kChangeOverhead;
 }
 
-// What a snapshot has not sent yet may have changed up to where it began, so it continues from no earlier
-// head.
+// Parts of a snapshot that were not sent yet may have changed until it began, so it cannot continue from an
+// earlier head.
 std::uint64_t KnownVersion(const PageRequest& request) {
   return std::max(request.position.version, request.snapshot_began_at.value_or(0));
 }
@@ -95,13 +95,13 @@
   head_.epoch = page.head.epoch;
   ancestors_ = page.ancestors;
   for (const Change& change : page.changes) {
-    // A key that was removed before the snapshot came to it is nowhere.
+    // The key was removed before the snapshot reached it.
     const bool unknown = entries_.find(change.key) == entries_.end();
     if (page.is_snapshot && !change.value && unknown) continue;
     Put(change.key, change.value, change.version, &touched);
   }
   head_.version = page.up_to;
-  // Until all is here the old serial stands: what is half new must not count as the new one.
+  // The old serial stays until the last page: a partial update must not count as the new serial.
   if (page.is_last()) head_.serial = page.head.serial;
   return touched;
 }
@@ -121,7 +121,7 @@
 bool Store::IsBehind(const PageRequest& request) const {
   const StorePosition& position = request.position;
   if (head_.epoch == 0) return true;
-  // While a snapshot is loaded the serial is still the old one's.
+  // While a snapshot is loaded, the serial is still the old one.
   if (position.serial > head_.serial) return true;
   if (position.epoch == head_.epoch) return KnownVersion(request) > head_.version;
   return position.serial == head_.serial && position.epoch > head_.epoch && !CanContinue(request);
@@ -174,8 +174,7 @@
       page->up_to = page->changes.back().version;
       return;
     }
-    // A removal is sent within a snapshot too, after its first page: an earlier page may have brought the
-    // key.
+    // Removals are sent within a snapshot too, after its first page: an earlier page may contain the key.
     if (entry.value || page->after > 0) {
       page->changes.push_back({key, entry.value, cursor.next->first});
       size += added;
--- a/src/config_feed/store.hpp
+++ b/src/config_feed/store.hpp
@@ -1,12 +1,12 @@
-// What one server or follower of the configuration feed holds: entries with versions.
+// The versioned entries of one server or follower of the configuration feed.
 //
-// Each change has a version of its own, one above the last, and the log keeps each key once, at its latest
-// version: the changes after a version are found by that version, at a cost by what has changed (MakePage). A
-// snapshot is the same walk from version 0, without removed keys. Removed keys are remembered up to a bound;
-// a follower that stands before the oldest forgotten one is sent a snapshot.
+// Each change has its own version, one above the last. The log contains each key once, at its latest version,
+// so the changes after a version are found at a cost proportional to their number (MakePage). A snapshot is
+// the same traversal from version 0, without removed keys. Removed keys are remembered up to a limit; a
+// follower that is behind the oldest forgotten one gets a snapshot.
 //
-// Pure: no socket, file or clock. Keys and values out of bounds have to be refused before they come here
-// (ParseKey, kMaxValueSize). Not thread-safe.
+// Pure: no socket, file or clock. Keys and values must be checked by the caller (ParseKey, kMaxValueSize).
+// Not thread-safe.
 #ifndef DAPPLETILLER_CONFIG_FEED_STORE_HPP_
 #define DAPPLETILLER_CONFIG_FEED_STORE_HPP_
 
@@ -24,7 +24,7 @@
 
 class Store {
  public:
-  // `max_removed`: removed keys that are remembered.
+  // `max_removed`: number of removed keys that are remembered.
   explicit Store(std::size_t max_removed = 65'536) : max_removed_(max_removed) {}
 
   const StorePosition& head() const { return head_; }
@@ -32,7 +32,7 @@
   std::size_t size() const { return live_; }
   // The value of a key; null if there is none.
   const std::string* Find(std::string_view key) const;
-  // All entries, in no order. For a start and for comparisons, never for a change.
+  // Visits all entries, in no order. For startup and comparisons only.
   template <typename Visit>
   void ForEach(const Visit& visit) const {
     for (const auto& [key, entry] : entries_) {
@@ -40,22 +40,21 @@
     }
   }
 
-  // As the origin: takes these changes, under a serial above the head's. A change that changes nothing costs
-  // no version. With another epoch than the head's, versions go on and the old epoch becomes an ancestor.
-  // Returns the services that are touched.
+  // As the origin: applies changes under a serial above the head's. Changes without effect get no version.
+  // With a new epoch, versions continue and the old epoch becomes an ancestor. Returns the affected services.
   ServiceSet Publish(std::uint64_t serial, std::uint64_t epoch, const std::vector<Change>& changes);
-  // As a follower: takes a page that continues from head().version. Returns the services that are touched.
+  // As a follower: applies a page that continues from head().version. Returns the affected services.
   ServiceSet Apply(const Page& page);
 
-  // Whether a follower can continue from where it stands: in this epoch or an ancestor's part, with nothing
-  // forgotten that it needs. Else it is sent a snapshot.
+  // Whether a follower can continue from its position: it is in this epoch or an ancestor, and no change that
+  // it needs is forgotten. Otherwise it gets a snapshot.
   bool CanContinue(const PageRequest& request) const;
-  // Whether the follower stands ahead of this store, which then has nothing for it.
+  // Whether the follower is ahead of this store.
   bool IsBehind(const PageRequest& request) const;
-  // The next page: about `max_size` bytes of keys and values at most, at least one change if there is any.
-  // Costs by what it returns and by the number of services in scope.
+  // The next page, with at most about `max_size` bytes of keys and values, but at least one change if there
+  // is any. The cost is proportional to the result and the number of services in scope.
   Page MakePage(const PageRequest& request, std::size_t max_size) const;
-  // Whether MakePage would have something new, for a request that may wait.
+  // Whether MakePage would return new changes, for a request that may wait.
   bool HasChangesFor(const PageRequest& request) const;
 
  private:
@@ -79,7 +78,7 @@
   Entries entries_;
   std::map<std::string, ChangeLog, std::less<>> logs_;  // by service
   ChangeLog removed_;
-  std::uint64_t last_forgotten_ = 0;  // the latest version of a removed key that is no longer remembered
+  std::uint64_t last_forgotten_ = 0;  // latest version of a forgotten removed key
   std::size_t live_ = 0;
 };
 
--- a/src/config_feed/values.hpp
+++ b/src/config_feed/values.hpp
@@ -1,5 +1,5 @@
-// What the program makes of the values of kinds that it knows. Used where values are published (the origin
-// checks them) and where they take effect, so that both agree.
+// Parses the values of known kinds. Used where values are published and where they take effect, so that both
+// apply the same checks.
 #ifndef DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
 #define DAPPLETILLER_CONFIG_FEED_VALUES_HPP_
 
@@ -16,11 +16,11 @@
 constexpr std::string_view kClassKind = "class";
 
 struct TenantValue {
-  double share = 0;             // of the service, 0 to 1
-  double quota_per_second = 0;  // requests within its share, over all proxies
+  double share = 0;             // fraction of the service, 0 to 1
+  double quota_per_second = 0;  // over all proxies
 };
 
-// What a request of a class may do if it runs more than once.
+// Effect of running a request of a class more than once.
 enum class ClassEffect { kFree, kGuarded, kSingleShot };
 
 struct ClassValue {
@@ -28,7 +28,7 @@
   ClassEffect effect = ClassEffect::kFree;
 };
 
-// What is wrong with a value, in one phrase that names the key in it and the remedy.
+// An invalid value; a phrase with the key in it and the remedy.
 struct ValueError {
   std::string message;
 };
--- a/src/control_server/control_server.cpp
+++ b/src/control_server/control_server.cpp
@@ -35,8 +35,8 @@
   return follower;
 }
 
-// Wires the parts together: answers followers, follows the other replicas, publishes the origin's file if it
-// has one.
+// Connects the parts: answers followers, follows the other replicas, and publishes the origin's file if there
+// is one.
 class ControlServer final : private SettingsObserver, private SignalHandler {
  public:
   ControlServer(Log& log, const operators::ControlOptions& options)
@@ -71,7 +71,7 @@
   }
   void OnStopSignal() override { loop_.Stop(); }
 
-  // Another replica had something new: on to the followers that wait here.
+  // Passes changes from another replica on to waiting followers.
   void OnSettingsChanged(const std::vector<config_feed::Change>& changes) override {
     config_feed::ServiceSet services;
     for (const config_feed::Change& change : changes) {
@@ -90,7 +90,7 @@
   std::optional<OriginPublisher> origin_;
 };
 
-// Each follower holds a connection here.
+// Each follower uses a connection.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
--- a/src/control_server/control_server.hpp
+++ b/src/control_server/control_server.hpp
@@ -1,4 +1,4 @@
-// The `control` subcommand: one config server of the configuration feed, from its start to its end.
+// The `control` subcommand: runs one config server of the configuration feed.
 #ifndef DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
 #define DAPPLETILLER_CONTROL_SERVER_CONTROL_SERVER_HPP_
 
@@ -6,8 +6,8 @@
 
 namespace dappletiller {
 
-// Serves until SIGTERM or SIGINT. Returns the exit code: 0 for an orderly end, 1 if it could not start, 2 if
-// the operator file is at fault; the log says why in one line.
+// Serves until SIGTERM or SIGINT. Returns the exit code: 0 after an orderly end, 1 if the start failed, 2 if
+// the operator file is invalid, with the reason in one log line.
 int RunControlServer(const std::string& operator_path);
 
 }  // namespace dappletiller
--- a/src/control_server/feed_server.cpp
+++ b/src/control_server/feed_server.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t kDiscardBufferSize = 512;
 
 // A response other than a page.
-struct Refusal {
+struct ErrorResponse {
   int status = 0;
   std::string_view text;
   Micros retry_after = 0;
@@ -47,7 +47,7 @@
   bool Adopt(FileDescriptor accepted) { return socket_.Adopt(std::move(accepted)); }
   void Close() { socket_.Close(); }
 
-  // Entries of these services have changed: only what is in its scope concerns it.
+  // Entries of these services have changed; relevant only if one is in the request's scope.
   void NotifyChanged(const config_feed::ServiceSet& services) {
     if (!waiting_) return;
     const config_feed::Scope& scope = request_.page.scope;
@@ -60,7 +60,7 @@
  private:
   std::span<char> ReceiveBuffer() override {
     const std::span<char> buffer = parser_.ReceiveBuffer();
-    // What comes while a request waits is read away, so that the end of its connection is seen.
+    // Data received while a request waits is discarded, so that the end of the connection is noticed.
     return buffer.empty() ? std::span<char>(discard_buffer_) : buffer;
   }
 
@@ -69,7 +69,7 @@
     parser_.Commit(count);
     if (parser_.bad()) {
       keep_alive_ = false;
-      Refuse({parser_.error_status(), "the question is malformed or too large"});
+      RespondWithError({parser_.error_status(), "the question is malformed or too large"});
     } else if (parser_.done() && !waiting_ && !writing_) {
       HandleRequest();
     }
@@ -96,13 +96,13 @@
     keep_alive_ = message->keep_alive();
     if (message->method() != "GET") {
       keep_alive_ = false;
-      Refuse({405, "GET only"});
+      RespondWithError({405, "GET only"});
       return;
     }
     auto request = config_feed::ParseRequest(message->target());
     if (!request) {
       keep_alive_ = false;
-      Refuse({message->path() == "/feed" ? 400 : 404, "no question of the settings feed"});
+      RespondWithError({message->path() == "/feed" ? 400 : 404, "no question of the settings feed"});
       return;
     }
     request_ = std::move(*request);
@@ -127,23 +127,23 @@
         Write(200, config_feed::WritePage(response.page), 0, "application/json");
         break;
       case Response::Kind::kBusy:
-        Refuse({503, "no place for a whole now", response.retry_after});
+        RespondWithError({503, "no place for a whole now", response.retry_after});
         break;
       case Response::Kind::kBehind:
-        Refuse({409, "this machine is behind"});
+        RespondWithError({409, "this machine is behind"});
         break;
       case Response::Kind::kWait:
         break;
     }
   }
 
-  void Refuse(const Refusal& refusal) {
+  void RespondWithError(const ErrorResponse& refusal) {
     Write(refusal.status, refusal.text, refusal.retry_after, "text/plain");
   }
 
   void Write(int status, std::string_view text, Micros retry_after, std::string_view content_type) {
     writing_ = true;
-    AwaitRequest();  // the same time is given for the answer to leave
+    AwaitRequest();  // also the time limit for sending the response
     http::WriteStatusResponse(status, text, retry_after, keep_alive_, &socket_.output(), content_type);
     socket_.Flush();
   }
@@ -208,7 +208,7 @@
 
 void FeedServer::Add(FileDescriptor accepted) {
   if (connections_.size() >= kMaxConnections) {
-    log_.Info("control: %zu followers are connected, a new one is rejected", connections_.size());
+    log_.Info("control: %zu followers are connected; rejected a new one", connections_.size());
     return;
   }
   const ConnectionId id = ++last_id_;
--- a/src/control_server/feed_server.hpp
+++ b/src/control_server/feed_server.hpp
@@ -1,5 +1,5 @@
-// Answers followers of the configuration feed over HTTP/1.1: drives a ConfigServer. A request that finds
-// nothing new is kept until something in its scope changes, or its wait is over.
+// Answers followers of the configuration feed over HTTP/1.1: drives a ConfigServer. A request without changes
+// to report is kept open until something in its scope changes or its wait is over.
 //
 // Bounded: kMaxConnections connections, kIdleTime for one that sends no request. Lives on the event loop.
 #ifndef DAPPLETILLER_CONTROL_SERVER_FEED_SERVER_HPP_
@@ -19,17 +19,17 @@
 
 class FeedServer final : private EventHandler {
  public:
-  static constexpr Micros kIdleTime = 60'000'000;  // without a request, or for one to come whole
+  static constexpr Micros kIdleTime = 60'000'000;  // without a request, or to receive a complete one
   static constexpr std::size_t kMaxConnections = 4'096;
 
-  // All must outlive it.
+  // All must outlive the server.
   FeedServer(EventLoop& loop, Log& log, config_feed::ConfigServer& config_server);
   ~FeedServer();
 
   void Listen(const Endpoint& where);  // throws std::system_error
   std::uint16_t port() const { return port_; }
-  // Entries of these services have changed: answers the requests that wait for one of them. Costs by how many
-  // wait.
+  // Entries of these services have changed: answers waiting requests for any of them. The cost is
+  // proportional to the number of waiting requests.
   void NotifyChanged(const config_feed::ServiceSet& services);
   std::size_t connections() const { return connections_.size(); }
 
@@ -51,7 +51,7 @@
   Timer retry_accept_;
   ConnectionId last_id_ = 0;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::set<ConnectionId> waiting_;  // whose request waits for a change
+  std::set<ConnectionId> waiting_;  // connections with a waiting request
 };
 
 }  // namespace dappletiller
--- a/src/control_server/origin_publisher.cpp
+++ b/src/control_server/origin_publisher.cpp
@@ -71,7 +71,7 @@
 // ---- Publishing ----
 
 std::vector<Change> OriginPublisher::ChangesSince(Baseline baseline) const {
-  // What a reading that was not published said has to be said now.
+  // An earlier reading was not published, so its changes are included now.
   const bool compare_with_store = baseline == Baseline::kWholeStore || has_unpublished_reading_;
   return compare_with_store ? file_.DifferencesTo(config_server_.store()) : last_changes_;
 }
@@ -106,7 +106,7 @@
                 config_server_.store().size());
       break;
     case PublishResult::kUnchanged:
-      if (serial_before != 0) log_.Info("origin: serial %llu is what all hold", serial);
+      if (serial_before != 0) log_.Info("origin: serial %llu is already held by all replicas", serial);
       break;
     case PublishResult::kSerialTooLow:
       log_.Write(
--- a/src/control_server/origin_publisher.hpp
+++ b/src/control_server/origin_publisher.hpp
@@ -1,7 +1,5 @@
-// Publishes the origin's file through a config server: reads it when it has changed, and says in the log what
-// came of it.
-//
-// Lives on the event loop; nothing throws. A file that can't be read or is malformed changes nothing.
+// Publishes the origin's file through a config server: reads it when it has changed, and logs the result.
+// Lives on the event loop; nothing throws. A file that cannot be read or is malformed has no effect.
 #ifndef DAPPLETILLER_CONTROL_SERVER_ORIGIN_PUBLISHER_HPP_
 #define DAPPLETILLER_CONTROL_SERVER_ORIGIN_PUBLISHER_HPP_
 
@@ -28,14 +26,14 @@
                   std::function<void(const config_feed::ServiceSet&)> on_published);
 
   const std::string& path() const { return path_; }
-  // Reads and publishes the file now, and from here on whenever it changes.
+  // Reads and publishes the file now and whenever it changes.
   void Read();
 
  private:
-  static constexpr Micros kCheckInterval = 500'000;  // for a changed file
-  static constexpr Micros kRetryInterval = 100'000;  // until it is known what the other replicas hold
+  static constexpr Micros kCheckInterval = 500'000;  // of checks for a changed file
+  static constexpr Micros kRetryInterval = 100'000;  // until the state of the other replicas is known
 
-  // Tells two versions of the file apart.
+  // Identifies a version of the file.
   struct FileVersion {
     std::int64_t modified_s = 0;
     std::int64_t modified_ns = 0;
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -205,7 +205,7 @@
   // Unknown attempt: no reason to refuse.
   if (it == requests_.end() || key.number >= static_cast<int>(it->second.attempts.size())) return true;
   Request& request = it->second;
-  if (request.sink != nullptr && request.sink->ClientHasLeft()) OnClientDisconnected(key.request);
+  if (request.sink != nullptr && request.sink->ClientHasDisconnected()) OnClientDisconnected(key.request);
   // OnClientDisconnected erases the request if it has no attempt in flight.
   it = requests_.find(key.request);
   if (it == requests_.end()) return false;
--- a/src/dispatch/types.hpp
+++ b/src/dispatch/types.hpp
@@ -39,7 +39,7 @@
   virtual void OnFailed() = 0;
   // Whether the client has disconnected according to the kernel, even if the end of stream has not been read
   // yet.
-  virtual bool ClientHasLeft() const = 0;
+  virtual bool ClientHasDisconnected() const = 0;
 
  protected:
   ~ResponseSink() = default;
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -104,8 +104,8 @@
     bool is_first_byte = !parser_.begun();
     parser_.Commit(n);
     Micros now = listener_.loop_.Now();
-    if (state_ != State::kReading) return received_.Add(n, parser_.held(), now);
-    received_.Restart(parser_.held(), now);
+    if (state_ != State::kReading) return received_.Add(n, parser_.buffered(), now);
+    received_.Restart(parser_.buffered(), now);
     if (is_first_byte) {
       listener_.admission_.OnBytesReceived(id);
       StartReceiveTimeout();
@@ -148,7 +148,7 @@
     SendStatus(503, "overloaded, try again later", retry_after);
   }
   void OnFailed() override { SendStatus(502, "no worker answered", 0); }
-  bool ClientHasLeft() const override { return socket.PeerHasClosed(); }
+  bool ClientHasDisconnected() const override { return socket.PeerHasClosed(); }
 
   // Closes the socket; an open request counts as abandoned by its client.
   void Disconnect() {
@@ -169,10 +169,10 @@
   // the data is discarded and answered with an error in its turn.
   void BufferPipelined(std::size_t n) {
     if (parser_.bad() || pipeline_overflow_) return;
-    pipeline_overflow_ = parser_.held() + n > kMaxPipelinedBytes;
+    pipeline_overflow_ = parser_.buffered() + n > kMaxPipelinedBytes;
     if (pipeline_overflow_) return;
     parser_.Feed({listener_.discard_buffer_.data(), n});
-    received_.Add(n, parser_.held(), listener_.loop_.Now());
+    received_.Add(n, parser_.buffered(), listener_.loop_.Now());
   }
 
   void ProcessInput() {
@@ -188,9 +188,9 @@
     }
     if (!parser_.done() && pipeline_overflow_) return Reject(413, "too much was sent ahead of an answer");
     if (!parser_.done() || !socket.open()) return;
-    std::size_t held = parser_.held();
+    std::size_t buffered = parser_.buffered();
     http::MessageRef request = parser_.TakeMessage();
-    last_byte_at_ = received_.Take(held - parser_.held());
+    last_byte_at_ = received_.Take(buffered - parser_.buffered());
     keep_alive_ = request->keep_alive();
     awaiting_first_request_ = false;
     if (request->path() == "/up") {
--- a/src/downstream/receive_times.cpp
+++ b/src/downstream/receive_times.cpp
@@ -4,19 +4,19 @@
 
 namespace dappletiller {
 
-void ReceiveTimes::Restart(std::size_t held, Micros now) {
-  reads_.assign(1, {held, now});
-  total_ = held;
+void ReceiveTimes::Restart(std::size_t buffered, Micros now) {
+  reads_.assign(1, {buffered, now});
+  total_ = buffered;
 }
 
-void ReceiveTimes::Add(std::size_t bytes, std::size_t held, Micros now) {
+void ReceiveTimes::Add(std::size_t bytes, std::size_t buffered, Micros now) {
   if (reads_.size() < kMaxReads) {
     reads_.push_back({bytes, now});
   } else {
     reads_.back().bytes += bytes;
   }
   total_ += bytes;
-  if (total_ > held) Take(total_ - held);
+  if (total_ > buffered) Take(total_ - buffered);
 }
 
 Micros ReceiveTimes::Take(std::size_t bytes) {
--- a/src/downstream/receive_times.hpp
+++ b/src/downstream/receive_times.hpp
@@ -17,12 +17,13 @@
   // which is earlier than their true time, so no request gets more time than its client has.
   static constexpr std::size_t kMaxReads = 64;
 
-  // All `held` bytes count as received at `now`: the last byte of the first message was not received earlier.
-  void Restart(std::size_t held, Micros now);
-  // Records `bytes` received behind the message that is being answered. `held` is the number of bytes that
-  // the parser keeps in total; it may be less than was received, as chunk framing is discarded. The oldest
-  // bytes are dropped then.
-  void Add(std::size_t bytes, std::size_t held, Micros now);
+  // All `buffered` bytes count as received at `now`: the last byte of the first message was not received
+  // earlier.
+  void Restart(std::size_t buffered, Micros now);
+  // Records `bytes` received behind the message that is being answered. `buffered` is the number of bytes
+  // that the parser keeps in total; it may be less than was received, as chunk framing is discarded. The
+  // oldest bytes are dropped then.
+  void Add(std::size_t bytes, std::size_t buffered, Micros now);
   // Removes the next `bytes` bytes and returns when the last of them was received. At least as many bytes
   // must be recorded.
   Micros Take(std::size_t bytes);
--- a/src/http/body_memory.hpp
+++ b/src/http/body_memory.hpp
@@ -1,8 +1,8 @@
-// How much memory the long bodies of requests and answers may take together.
+// Limits the memory that the long bodies of requests and responses use together.
 //
-// Every message may have a body of a usual size; what a body takes beyond that is asked for here, as it is
-// known (all of a stated length at once, a body without one as it comes), and given back with the message.
-// So a few long bodies pass, and many at once are refused before they exhaust the process's memory.
+// Each message may have a body of the usual size. Memory beyond that is reserved here as soon as the size is
+// known (a stated length at once, other bodies as they are received) and released with the message. So a few
+// long bodies are accepted, and many at the same time are rejected before they exhaust the process's memory.
 //
 // Pure: no I/O, no clock, no allocation of its own. One instance is shared by all connections of a process.
 #ifndef DAPPLETILLER_HTTP_BODY_MEMORY_HPP_
@@ -18,7 +18,7 @@
  public:
   explicit BodyMemory(std::size_t limit) : limit_(limit) {}
 
-  // What one body has taken; it is given back when this goes.
+  // The reservation of one body; released on destruction.
   class Share {
    public:
     Share() = default;
@@ -29,8 +29,7 @@
     Share& operator=(const Share&) = delete;
     ~Share() { GiveBack(); }
 
-    // Takes more, up to `bytes` in all. False: so much is not left, or there is no memory to share; what was
-    // taken before is kept.
+    // Increases the reservation to `bytes` in total. False: not available; the earlier reservation is kept.
     bool GrowTo(std::size_t bytes);
     bool shares() const { return memory_ != nullptr; }
 
--- a/src/http/client/http_client.cpp
+++ b/src/http/client/http_client.cpp
@@ -32,7 +32,7 @@
   const bool unusable = socket_.open() && (!(connected_to_ == where) || socket_.IsStale());
   if (unusable) socket_.Close();
   if (!socket_.open() && !Connect(where)) {
-    // Not from within the caller's own call.
+    // Not called back from within Get.
     timeout_.Set(0, [this] { Fail(RequestError::kCannotConnect); });
     return;
   }
@@ -75,7 +75,7 @@
 
 void Client::HandleResponse() {
   if (!is_busy_) {
-    socket_.Close();  // nothing was asked for
+    socket_.Close();  // unsolicited data
     return;
   }
   if (parser_.bad()) {
--- a/src/http/client/http_client.hpp
+++ b/src/http/client/http_client.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 client for one kind of server: one connection, one GET at a time, kept alive between requests.
+// An HTTP/1.1 client with one connection, which is kept alive between requests, and one GET at a time.
 #ifndef DAPPLETILLER_HTTP_CLIENT_HTTP_CLIENT_HPP_
 #define DAPPLETILLER_HTTP_CLIENT_HTTP_CLIENT_HPP_
 
@@ -20,13 +20,13 @@
 
 class Client final : private StreamSocket::Callbacks {
  public:
-  // A response without a length lasts until the end of its connection, which may as well have been cut short.
+  // A response without a length ends with its connection, so it may be truncated unnoticed.
   enum class UnsizedResponses { kAccept, kRefuse };
 
   class Owner {
    public:
-    // Exactly one of these follows each Get, unless Close comes first. Either may begin the next request, but
-    // neither may free the client (EventLoop::DeferDelete).
+    // Exactly one of these is called for each Get, unless Close comes first. Both may start the next request,
+    // but must free the client only through EventLoop::DeferDelete.
     virtual void OnResponse(const Message& response) = 0;
     // The connection has been closed.
     virtual void OnRequestFailed(RequestError error) = 0;
@@ -35,14 +35,13 @@
     ~Owner() = default;
   };
 
-  // Both references must outlive it.
+  // Both references must outlive the client.
   Client(EventLoop& loop, Owner& owner, std::size_t max_body_size, UnsizedResponses unsized);
 
-  // Sends a request that has to be answered within `timeout`. No other may be out. A connection that is
-  // stale, or leads elsewhere, is replaced. Owner::OnRequestFailed may be called before this returns if the
-  // connection breaks at once.
+  // Sends a request with a timeout. No other request may be in progress. A stale connection, or one to
+  // another address, is replaced. Owner::OnRequestFailed may be called before this returns.
   void Get(const Endpoint& where, const std::string& host, const std::string& target, Micros timeout);
-  // Gives up the request that is out and closes the connection.
+  // Abandons the current request and closes the connection.
   void Close();
   bool is_busy() const { return is_busy_; }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,5 +1,5 @@
-// One HTTP/1.1 request or response, in the bytes in which it came: the head is parsed in place and the body
-// decoded in place, so views into it stay valid as long as the message lives.
+// An HTTP/1.1 request or response in its received bytes. Head and body are parsed in place, so views into
+// them are valid as long as the message exists.
 #ifndef DAPPLETILLER_HTTP_MESSAGE_HPP_
 #define DAPPLETILLER_HTTP_MESSAGE_HPP_
 
@@ -27,11 +27,11 @@
   // Whether the connection may carry another message after this one.
   bool keep_alive() const { return keep_alive_; }
 
-  // The first header of that name, in any case.
+  // The value of the first header with that name, ignoring case.
   std::optional<std::string_view> Find(std::string_view name) const;
   std::size_t Count(std::string_view name) const;
-  // The lines, line ends included, of the headers that are end-to-end (RFC 9110, section 7.6.1) and not about
-  // the body's framing. Neighbouring lines come as one view.
+  // The lines, with line ends, of the end-to-end headers (RFC 9110, section 7.6.1) except those on the body's
+  // framing. Adjacent lines are merged into one view.
   std::vector<std::string_view> EndToEndHeaders() const;
 
  private:
@@ -56,7 +56,7 @@
   int status_ = 0;
   bool keep_alive_ = true;
   std::vector<Header> headers_;
-  BodyMemory::Share long_body_;  // for what the body has beyond the parser's limit
+  BodyMemory::Share long_body_;  // for the part of the body above the parser's limit
 };
 using MessageRef = std::shared_ptr<const Message>;
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -244,7 +244,7 @@
   Message& message = *message_;
   message.keep_alive_ = http10_ ? framing.keep_alive && !framing.close : !framing.close;
   if (kind_ == Kind::kResponse) {
-    if (IsInterim(message.status_)) {  // the real response follows
+    if (IsInterim(message.status_)) {  // the final response follows
       message.headers_.clear();
       state_ = State::kHead;
       return true;
@@ -266,7 +266,7 @@
   return true;
 }
 
-// Whether this message may have a body of `size` bytes. If not, it is bad.
+// Reserves memory for a body of `size` bytes; if it is not available, the message fails.
 bool Parser::ReserveBody(std::uint64_t size) {
   if (size <= max_body_size_) return true;
   const std::uint64_t beyond = size - max_body_size_;
@@ -280,7 +280,7 @@
 
 // ---- Body ----
 
-// Moves what has come of the body to the end of what is decoded; without chunks both are the same place.
+// Appends received body bytes to the decoded part; without chunks they are already in place.
 bool Parser::StepBody() {
   const bool until_end = state_ == State::kBodyUntilEnd;
   const std::size_t available = received_ - next_;
@@ -316,7 +316,7 @@
   return true;
 }
 
-// Gives back what the chunks' own lines took, so that tiny chunks can't swell the buffer.
+// Removes the chunk lines, so that tiny chunks cannot inflate the buffer.
 void Parser::DropChunkLines() {
   if (next_ == body_end_) return;
   char* bytes = message_->bytes_.data();
@@ -328,7 +328,7 @@
 bool Parser::OnChunkSize(std::string_view line) {
   const auto size = ParseNumber(Trim(line.substr(0, line.find(';'))), 16);
   if (!size || HasControlCharacter(line, Tab::kIsAllowed)) return Fail(kBadRequest);
-  // Before the sum below, which a size near the greatest number would wrap round.
+  // Checked before the sum below, which could overflow.
   if (*size > kMaxEndpointListSize) return Fail(kContentTooLarge);
   const std::size_t decoded = body_end_ - message_->body_.at;
   if (!ReserveBody(decoded + *size)) return false;
--- a/src/http/writer.hpp
+++ b/src/http/writer.hpp
@@ -10,12 +10,12 @@
 
 namespace dappletiller::http {
 
-// A client's request as it goes to an upstream server, with the time that is left for it.
+// Writes a client's request for an upstream server, with the time that is left for it.
 void WriteRequest(const MessageRef& request, Micros timeout, OutputBuffer* out);
-// An upstream server's response as it goes to the client.
+// Writes an upstream server's response for the client.
 void WriteResponse(const MessageRef& response, bool keep_alive, OutputBuffer* out);
-// A response of our own, with a line of text as its body. `retry_after`: 0 for no such header; else it is
-// rounded up to a millisecond, since coming back too soon is what it is there to prevent.
+// Writes a response of the proxy itself, with a line of text as its body. `retry_after`: 0 for no header;
+// otherwise rounded up to a millisecond, so that clients do not retry too early.
 void WriteStatusResponse(int status, std::string_view text, Micros retry_after, bool keep_alive,
                          OutputBuffer* out, std::string_view content_type = "text/plain");
 
--- a/src/io/bound_socket.hpp
+++ b/src/io/bound_socket.hpp
@@ -17,10 +17,10 @@
   std::uint16_t port = 0;  // as bound
 };
 
-// A non-blocking TCP listener on `where` (port 0: the kernel's choice). Throws std::system_error that names
-// `purpose` and the system call that failed.
+// Creates a non-blocking TCP listener on `where` (port 0: any free port). Throws std::system_error with
+// `purpose` and the failed system call.
 BoundSocket BindTcpListener(const Endpoint& where, int backlog, const char* purpose);
-// A non-blocking UDP socket on `where`, likewise.
+// Creates a non-blocking UDP socket on `where`, likewise.
 BoundSocket BindUdpSocket(const Endpoint& where, const char* purpose);
 
 sockaddr_in ToSocketAddress(const Endpoint& endpoint);
--- a/src/io/event_loop.cpp
+++ b/src/io/event_loop.cpp
@@ -85,7 +85,7 @@
     const Micros first_due = timers_.begin()->first.first;
     wait = std::min(wait, first_due - Now());
   }
-  // Rounded up: waking before a timer is due would only spin.
+  // Rounded up, since waking before a timer is due would only spin.
   return static_cast<int>((std::max<Micros>(wait, 0) + 999) / 1000);
 }
 
--- a/src/io/event_loop.hpp
+++ b/src/io/event_loop.hpp
@@ -1,7 +1,6 @@
-// The event loop: edge-triggered epoll, timers and one monotonic clock.
-//
-// One thread runs the loop, and all that lives on it is used from that thread only. Handlers and timers may
-// do anything but free the object whose callback is running; that goes through DeferDelete.
+// The event loop: edge-triggered epoll, timers and one monotonic clock. One thread runs the loop, and all
+// objects on it are used from that thread only. Handlers and timers must not free the object whose callback
+// is running, except through DeferDelete.
 #ifndef DAPPLETILLER_IO_EVENT_LOOP_HPP_
 #define DAPPLETILLER_IO_EVENT_LOOP_HPP_
 
@@ -34,22 +33,22 @@
 
   EventLoop();  // throws std::system_error
 
-  // Microseconds that never go back. They began as Unix time, so that Unix times can be compared with them.
+  // Monotonic microseconds. The clock starts as Unix time, so it can be compared with Unix times.
   Micros Now() const;
 
-  // Reports readiness in both directions, on edges. 0 if epoll refuses the descriptor. A WatchId outlives its
-  // handler: events that are already fetched for one that is no longer watched, or for a new handler on the
-  // same descriptor number, reach nobody.
+  // Reports readiness in both directions, edge-triggered. 0 if epoll rejects the descriptor. Events already
+  // fetched for a WatchId that is no longer watched are dropped, even if the descriptor number is in use
+  // again.
   WatchId Watch(int fd, EventHandler* handler);
   void Unwatch(WatchId watch, int fd);
-  // Calls the handler once more in the next round: for handlers that stop before EAGAIN to let others in.
+  // Calls the handler again in the next round, for handlers that stop before EAGAIN to let others run.
   void NotifyAgain(WatchId watch, std::uint32_t events);
 
-  // Calls `callback` once at `when` or as soon after as the loop gets to it.
+  // Calls `callback` once, at `when` or as soon as possible afterwards.
   TimerKey ScheduleAt(Micros when, std::function<void()> callback);
   void Cancel(TimerKey key) { timers_.erase(key); }
 
-  // Frees an object at the end of the round, when no callback can still be running in it.
+  // Frees an object at the end of the round, when none of its callbacks can be running.
   template <typename T>
   void DeferDelete(std::unique_ptr<T> object) {
     to_delete_.push_back(std::shared_ptr<void>(std::move(object)));
@@ -58,7 +57,7 @@
   // Runs until Stop.
   void Run();
   void Stop() { stopped_ = true; }
-  // One round, in which events are waited for at most `max_wait`.
+  // Runs one round, waiting for events for at most `max_wait`.
   void RunOnce(Micros max_wait);
 
  private:
@@ -72,7 +71,7 @@
   int MillisecondsToWait(Micros max_wait) const;
 
   FileDescriptor epoll_;
-  Micros unix_offset_ = 0;   // from the steady clock to Unix time, at the start
+  Micros unix_offset_ = 0;   // from the steady clock to Unix time, at startup
   std::vector<Slot> slots_;  // by the lower half of a WatchId; the upper half is the generation
   std::vector<std::uint32_t> free_slots_;
   std::vector<std::pair<WatchId, std::uint32_t>> to_notify_;
@@ -82,7 +81,7 @@
   bool stopped_ = false;
 };
 
-// A timer that is cancelled with its owner, so that it never fires into freed memory.
+// A timer that is cancelled when it is destroyed.
 class Timer {
  public:
   explicit Timer(EventLoop& loop) : loop_(loop) {}
@@ -90,7 +89,7 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  // Replaces what was set before.
+  // Replaces the previous setting.
   void Set(Micros after, std::function<void()> callback);
   void Clear();
   bool set() const { return set_; }
--- a/src/io/file_descriptor.hpp
+++ b/src/io/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// Owns a descriptor and closes it.
+// Owns a file descriptor and closes it.
 #ifndef DAPPLETILLER_IO_FILE_DESCRIPTOR_HPP_
 #define DAPPLETILLER_IO_FILE_DESCRIPTOR_HPP_
 
@@ -9,7 +9,7 @@
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  // Takes over `fd`; a negative one is none.
+  // Takes ownership of `fd`; negative: none.
   explicit FileDescriptor(int fd) : fd_(fd) {}
   ~FileDescriptor() { Reset(); }
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
@@ -19,7 +19,7 @@
 
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  // Closes it now.
+  // Closes the descriptor.
   void Reset();
 
  private:
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -14,7 +14,7 @@
 namespace dappletiller {
 namespace {
 
-// Any stream, as the tests hand in their own.
+// Writes to any stream; tests use their own.
 class StreamSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   explicit StreamSink(std::FILE* to) : to_(to) {}
@@ -30,7 +30,7 @@
   std::FILE* to_;
 };
 
-// The text as the inside of a JSON string.
+// Formats the text as the contents of a JSON string.
 class JsonText final : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& msg, const std::tm&, spdlog::memory_buf_t& dest) override {
@@ -70,7 +70,7 @@
 
 constexpr const char* kTextPattern = "%n: %v";
 constexpr const char* kJsonPattern = R"({"at":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","name":"%n","text":"%J"})";
-constexpr std::size_t kMaxLineSize = 512;  // with the final zero
+constexpr std::size_t kMaxLineSize = 512;  // including the terminating zero
 
 }  // namespace
 
@@ -96,7 +96,7 @@
   logger_->set_level(Translate(min_level));
 }
 
-// Comes before the text is made: a line that is left out must cost next to nothing.
+// Called before the text is formatted, so that dropped lines cost almost nothing.
 bool Log::Admit(Level level) {
   if (level < min_level_) return false;
   const Micros now = SteadyNow();
@@ -106,7 +106,7 @@
   }
   last_line_at_ = now;
   if (tokens_ < 1) {
-    ++left_out_;
+    ++dropped_lines_;
     return false;
   }
   tokens_ -= 1;
@@ -117,8 +117,8 @@
   std::array<char, kMaxLineSize> text;
   std::vsnprintf(text.data(), text.size(), format, args);
   std::string line = text.data();
-  if (left_out_ > 0) line += " (" + std::to_string(left_out_) + " lines left out before this)";
-  left_out_ = 0;
+  if (dropped_lines_ > 0) line += " (" + std::to_string(dropped_lines_) + " lines left out before this)";
+  dropped_lines_ = 0;
   logger_->log(Translate(level), spdlog::string_view_t(line));
 }
 
--- a/src/io/log.hpp
+++ b/src/io/log.hpp
@@ -1,8 +1,8 @@
-// Logging, carried out by spdlog: lines to a stream, as text or as JSON.
+// Rate-limited logging through spdlog: lines to a stream, as text or as JSON.
 //
-// A burst of kBurst lines passes, then kLinesPerSecond; what is left out is counted in the next line that
-// passes. Without that a fault that repeats with every request would fill the log and the processor. Formats
-// are those of printf; a line is cut at 511 bytes. Not thread-safe.
+// A burst of kBurst lines is written, then kLinesPerSecond; the number of dropped lines is added to the next
+// line. Without a limit, a fault that repeats with every request would flood the log and use up the
+// processor. Formats are those of printf; lines are truncated at 511 bytes. Not thread-safe.
 #ifndef DAPPLETILLER_IO_LOG_HPP_
 #define DAPPLETILLER_IO_LOG_HPP_
 
@@ -24,7 +24,7 @@
   enum class Level { kDebug, kInfo, kWarn, kError };
   enum class Format { kText, kJson };
 
-  // Text, from info up. `to` has to outlive it; `name` stands in each line.
+  // Logs as text, from level info. `to` must outlive the log; `name` is part of each line.
   Log(std::FILE* to, const char* name);
   ~Log();
   Log(const Log&) = delete;
@@ -33,12 +33,12 @@
   void Write(Level level, const char* format, ...) __attribute__((format(printf, 3, 4)));
   // At level info.
   void Info(const char* format, ...) __attribute__((format(printf, 2, 3)));
-  // At level info, and never left out for the rate: lines that others wait for and that come once in a
-  // process's life, or as the answer to an operator's signal.
+  // At level info and not rate-limited: for lines that are written once per process, or in response to an
+  // operator.
   void Important(const char* format, ...) __attribute__((format(printf, 2, 3)));
 
-  // kText: "name: text" a line; kJson: an object a line with the keys at (UTC), level, name, text. Lines
-  // below `min_level` are neither written nor counted.
+  // kText: lines of "name: text"; kJson: lines of JSON objects with the keys at (UTC), level, name, text.
+  // Lines below `min_level` are neither written nor counted.
   void Configure(Format format, Level min_level);
   // "debug", "warn" or "error"; anything else is info.
   static Level ParseLevel(const std::string& word);
@@ -54,7 +54,7 @@
   Level min_level_ = Level::kInfo;
   double tokens_ = kBurst;
   Micros last_line_at_ = 0;  // 0: none yet
-  long left_out_ = 0;        // lines since the last that passed
+  long dropped_lines_ = 0;   // lines dropped since the last one written
 };
 
 }  // namespace dappletiller
--- a/src/io/output_buffer.hpp
+++ b/src/io/output_buffer.hpp
@@ -1,4 +1,4 @@
-// Bytes to be written, gathered from where they lie.
+// A queue of bytes to be written, which refers to its parts without copying them.
 #ifndef DAPPLETILLER_IO_OUTPUT_BUFFER_HPP_
 #define DAPPLETILLER_IO_OUTPUT_BUFFER_HPP_
 
@@ -14,7 +14,7 @@
 
 class OutputBuffer {
  public:
-  // `literal` has to outlive the buffer.
+  // `literal` must outlive the buffer.
   void Append(std::string_view literal) { AppendView(literal, nullptr); }
   void AppendOwned(std::string text);
   // `owner` keeps the bytes of `view` alive until they are written.
@@ -22,11 +22,11 @@
 
   bool empty() const { return pieces_.empty(); }
   std::size_t size() const;  // bytes
-  // Fills in at most `max_pieces` of `to` for sendmsg; returns how many.
+  // Fills in at most `max_pieces` elements of `to` for sendmsg; returns their number.
   int Gather(iovec* to, int max_pieces) const;
-  // Drops the first `count` bytes: they have been written.
+  // Removes the first `count` bytes after they have been written.
   void Consume(std::size_t count);
-  // All that is left, for tests.
+  // The remaining bytes, for tests.
   std::string Text() const;
 
  private:
--- a/src/io/signals.hpp
+++ b/src/io/signals.hpp
@@ -1,4 +1,4 @@
-// The signals that operators send to a process, as events on the event loop.
+// Delivers the signals that operators send to a process as events on the event loop.
 #ifndef DAPPLETILLER_IO_SIGNALS_HPP_
 #define DAPPLETILLER_IO_SIGNALS_HPP_
 
@@ -18,16 +18,16 @@
 
 class SignalWatcher final : private EventHandler {
  public:
-  // Keeps these signals for a watcher. To be called before anything else: one that comes while the process
-  // starts then waits for the watcher, where SIGHUP's default would end the process.
+  // Blocks these signals until a watcher reads them. Must be called first: a signal received during the start
+  // stays pending, whereas the default action of SIGHUP would end the process.
   static void Block();
 
-  // Both must outlive it.
+  // Both must outlive the watcher.
   SignalWatcher(EventLoop& loop, SignalHandler& handler) : loop_(loop), handler_(handler) {}
   ~SignalWatcher();
   SignalWatcher(const SignalWatcher&) = delete;
   SignalWatcher& operator=(const SignalWatcher&) = delete;
-  // Signals are delivered from here on, several of one kind as one, a reload before a stop.
+  // Starts delivering signals. Several signals of one kind count as one; a reload is delivered before a stop.
   void Start();
 
  private:
--- a/src/io/stream_socket.cpp
+++ b/src/io/stream_socket.cpp
@@ -16,7 +16,7 @@
 namespace dappletiller {
 namespace {
 
-constexpr int kMaxReadsPerRound = 8;  // then other connections have their turn
+constexpr int kMaxReadsPerRound = 8;  // then other connections are served
 constexpr int kMaxPiecesPerWrite = 64;
 
 void SetNoDelay(int fd) {
@@ -59,7 +59,7 @@
   if (connecting_) OnConnectResult(events);
   if (connecting_ || !open()) return;
   if ((events & EPOLLERR) != 0) broken_ = true;
-  // Reading comes first: an answer that came before the connection broke is still an answer.
+  // Read first: a response received before the connection broke is still valid.
   if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
     readable_ = true;
     Read();
@@ -92,12 +92,12 @@
 
 bool StreamSocket::ReadOnce() {
   const std::span<char> buffer = callbacks_.ReceiveBuffer();
-  if (buffer.empty()) return false;  // ResumeReading goes on from here
+  if (buffer.empty()) return false;  // continued by ResumeReading
   const ssize_t count = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
   if (count > 0) {
     callbacks_.OnReceived(static_cast<std::size_t>(count));
   } else if (count == 0) {
-    // An end that an error has overtaken, or whose error another call was told of, ends here too.
+    // Also reached if an error was reported to another system call, after which the stream looks ended.
     readable_ = false;
     NotifyClosed(broken_ || TakeError() != 0 ? StreamEnd::kBroken : StreamEnd::kOrderly);
   } else if (WouldBlock(errno)) {
@@ -126,7 +126,7 @@
     if (count >= 0) {
       output_.Consume(static_cast<std::size_t>(count));
     } else if (WouldBlock(errno)) {
-      return;  // EPOLLOUT comes when there is room
+      return;  // continued by EPOLLOUT
     } else if (errno != EINTR) {
       OnWriteError();
       return;
@@ -135,8 +135,8 @@
   if (had_output) callbacks_.OnFlushed();
 }
 
-// The peer may have answered before it broke off: what it sent is read first. Within a read that is happening
-// already, and the next round comes here again.
+// The peer may have responded before the connection broke, so received data is read first. Within a read,
+// this is already happening, and the error is handled in the next round.
 void StreamSocket::OnWriteError() {
   broken_ = true;
   if (reading_) {
@@ -153,7 +153,7 @@
   const ssize_t count = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count >= 0) return true;
   if (WouldBlock(errno)) return false;
-  broken_ = true;  // this call was the one that the kernel told
+  broken_ = true;  // the kernel reported the error to this call
   return true;
 }
 
--- a/src/io/stream_socket.hpp
+++ b/src/io/stream_socket.hpp
@@ -1,6 +1,6 @@
-// A TCP connection on the event loop: reads into its user's buffers, writes from an OutputBuffer.
+// A TCP connection on the event loop. Reads into buffers of its owner and writes from an OutputBuffer.
 //
-// Whoever speaks a protocol on it implements StreamSocket::Callbacks and owns the socket.
+// The owner implements StreamSocket::Callbacks for its protocol.
 #ifndef DAPPLETILLER_IO_STREAM_SOCKET_HPP_
 #define DAPPLETILLER_IO_STREAM_SOCKET_HPP_
 
@@ -14,69 +14,69 @@
 
 namespace dappletiller {
 
-// How a stream ended. A reset, or any other error that was met by the end, is no orderly end, whoever met it
-// and however much could still be read: a message that lasts until the end of its stream is complete only
-// after kOrderly (RFC 9112, sections 6.3 and 8).
+// How a stream ended. A reset or another error is not an orderly end, whichever system call reported it and
+// however much data could still be read. A message that ends with its stream is complete only after kOrderly
+// (RFC 9112, sections 6.3 and 8).
 enum class StreamEnd { kOrderly, kBroken };
 
 class StreamSocket final : private EventHandler {
  public:
-  // Any of these may close the socket, but must leave freeing it to EventLoop::DeferDelete.
+  // Each of these may close the socket, but must free it only through EventLoop::DeferDelete.
   class Callbacks {
    public:
-    // Where the next bytes go. Empty: nothing is read until ResumeReading.
+    // The buffer for the next bytes. Empty: nothing is read until ResumeReading.
     virtual std::span<char> ReceiveBuffer() = 0;
-    // So many bytes are in that buffer.
+    // `count` bytes have been read into that buffer.
     virtual void OnReceived(std::size_t count) = 0;
     virtual void OnConnected() {}
-    // All of the output has been handed to the kernel.
+    // The whole output has been passed to the kernel.
     virtual void OnFlushed() {}
-    // Asked each time before bytes go to the kernel. False: none do; the callee has closed the socket, or
-    // flushes again once they may.
+    // Called each time before bytes are passed to the kernel. False: nothing is written; the owner has closed
+    // the socket, or flushes again later.
     virtual bool MayWrite() { return true; }
-    // Nothing more will come. Not called after Close.
+    // The stream has ended. Not called after Close.
     virtual void OnClosed(StreamEnd how) = 0;
 
    protected:
     ~Callbacks() = default;
   };
 
-  // Both must outlive it.
+  // Both must outlive the socket.
   StreamSocket(EventLoop& loop, Callbacks& callbacks) : loop_(loop), callbacks_(callbacks) {}
   ~StreamSocket() { Close(); }
   StreamSocket(const StreamSocket&) = delete;
   StreamSocket& operator=(const StreamSocket&) = delete;
 
-  // Takes over an accepted connection. False: it failed at once.
+  // Takes ownership of an accepted connection. False: it failed immediately.
   bool Adopt(FileDescriptor connection);
-  // Begins to connect. False: it failed at once.
+  // Starts to connect. False: it failed immediately.
   bool Connect(const Endpoint& where);
   bool open() const { return static_cast<bool>(fd_); }
   std::uint16_t local_port() const;  // 0: not open
 
   OutputBuffer& output() { return output_; }
-  // Writes the output as far as the kernel takes it now; the rest follows by itself.
+  // Writes as much output as the kernel accepts; the rest is written when the socket becomes writable.
   void Flush();
   void ResumeReading();
 
-  // Whether the peer has closed, or sent something, without a callback having said so yet.
+  // Whether the peer has closed the connection or sent data that no callback has reported yet.
   bool IsStale();
-  // Whether the peer has ended or broken the stream, also where that lies behind unread bytes.
+  // Whether the peer has closed or reset the stream, even behind unread bytes.
   bool PeerHasClosed() const;
-  // Of the output, the bytes that the peer's machine has not acknowledged: ours and the kernel's. What the
-  // peer sends once it has the last byte acknowledges that byte too, so bytes that are read while some are
-  // unacknowledged were sent before.
+  // Bytes of the output that the peer's kernel has not acknowledged, including those still in this buffer.
+  // Data that the peer sends after it has the last byte acknowledges that byte, so data that is read while
+  // some are unacknowledged was sent before.
   std::size_t UnacknowledgedBytes() const;
 
   void ShutdownWrite();  // half-close
   void Close();
-  void Abort();  // closes so that the peer meets a reset, not an end
+  void Abort();  // closes with a reset instead of an orderly end
 
  private:
   void OnReady(std::uint32_t events) override;
   void OnConnectResult(std::uint32_t events);
   void Read();
-  // False: reading is over for now.
+  // False: nothing more to read for now.
   bool ReadOnce();
   void OnWriteError();
   void NotifyClosed(StreamEnd how);
@@ -89,9 +89,9 @@
   EventLoop::WatchId watch_ = 0;
   OutputBuffer output_;
   bool connecting_ = false;
-  bool reading_ = false;  // within Read: a callback's ResumeReading must not nest
+  bool reading_ = false;  // within Read: ResumeReading from a callback must not recurse
   bool readable_ = false;
-  // The kernel reports an error once, to whichever call comes first; after that the stream looks ended.
+  // The kernel reports an error only once, to the first system call; after that the stream looks ended.
   bool broken_ = false;
 };
 
--- a/src/membership/broadcast_queue.hpp
+++ b/src/membership/broadcast_queue.hpp
@@ -1,10 +1,7 @@
-// Updates on members that are still to be disseminated, piggybacked on the messages that are sent anyway
-// (SWIM, 4.1): the least often sent first, of those the newest. An update is retired once it has been sent
-// often enough.
-//
-// Accusations of one member by different accusers are kept side by side, since Lifeguard counts them; any
-// other update on a member replaces all that is pending on it. Holds at most one update per member, and one
-// more per accuser that suspicion still counts.
+// Queue of member updates to disseminate, piggybacked on other messages (SWIM, 4.1). Updates sent least often
+// come first, the newest among equals. An update is removed after a number of transmissions. Accusations of a
+// member by different accusers are kept separately, since Lifeguard counts them; any other update on a member
+// replaces its pending ones. Contains at most one update per member, plus one per counted accuser.
 #ifndef DAPPLETILLER_MEMBERSHIP_BROADCAST_QUEUE_HPP_
 #define DAPPLETILLER_MEMBERSHIP_BROADCAST_QUEUE_HPP_
 
@@ -21,9 +18,9 @@
 class BroadcastQueue {
  public:
   void Enqueue(const MemberRecord& record);
-  // Another member sends this update as well, so it has spread: it counts as sent once more (feedback and
-  // counter of Demers et al., PODC 1987). `sender_group` has one of 64 bits set; each counts once for an
-  // update, so that one member who repeats itself silences nothing.
+  // The update was received from another member, so it has spread and counts as sent once more (feedback and
+  // counter of Demers et al., PODC 1987). `sender_group` has one of 64 bits set; each counts once per update,
+  // so a single member that repeats itself cannot suppress it.
   void NoteReceived(const MemberRecord& record, std::uint64_t sender_group, int max_transmissions);
   // Adds updates to `message` while its size, with `reserved_size` more bytes, stays within `max_size`.
   void Piggyback(std::size_t reserved_size, std::size_t max_size, int max_transmissions, Message* message);
@@ -31,13 +28,13 @@
   std::size_t size() const { return updates_.size(); }
 
  private:
-  static constexpr std::size_t kMaxCandidates = 32;  // looked at for one message
+  static constexpr std::size_t kMaxCandidates = 32;  // inspected for one message
 
   struct PendingUpdate {
     MemberRecord record;
-    int transmissions = 0;            // by us, and one for each group in `sender_groups`
-    std::uint64_t sender_groups = 0;  // who sent it to us, as bits
-    std::uint64_t age = 0;            // the place in the order of Enqueue
+    int transmissions = 0;            // by this process, plus one for each group in `sender_groups`
+    std::uint64_t sender_groups = 0;  // groups of the senders it was received from
+    std::uint64_t age = 0;            // position in the order of Enqueue
   };
   // Accusations: "name accuser"; others: "name".
   using Updates = std::map<std::string, PendingUpdate>;
--- a/src/membership/claim_verifier.cpp
+++ b/src/membership/claim_verifier.cpp
@@ -53,7 +53,7 @@
 }
 
 void ClaimVerifier::StartProbe(TimePoint now, const Claim& claim) {
-  // To whichever start of it is there; the claimed one is remembered for another attempt.
+  // Addressed to any boot of the member; the claimed boot is kept for another attempt.
   Probe* probe =
       prober_.Start(now, ProbePurpose::kVerification, {claim.record.name, claim.record.address, 0});
   if (probe == nullptr) return;
--- a/src/membership/claim_verifier.hpp
+++ b/src/membership/claim_verifier.hpp
@@ -1,7 +1,6 @@
-// Claims by others that a member runs somewhere: none is believed until that member answers a probe of our
-// own.
-//
-// Owns the queue of claims to be verified and remembers which addresses were probed lately, both bounded.
+// Verifies claims by others that a member runs at an address: a claim is accepted only when that member
+// answers a probe of this process. Owns the queue of claims and the addresses that were probed recently, both
+// bounded.
 #ifndef DAPPLETILLER_MEMBERSHIP_CLAIM_VERIFIER_HPP_
 #define DAPPLETILLER_MEMBERSHIP_CLAIM_VERIFIER_HPP_
 
@@ -18,16 +17,16 @@
  public:
   static constexpr int kMaxAttempts = 5;  // probes after the first
 
-  // Both must outlive it.
+  // Both must outlive this object.
   ClaimVerifier(ProtocolState& state, Prober& prober) : state_(state), prober_(prober) {}
 
   // Queues a claim, unless its member was probed at that address within kRepeatInterval.
   void Enqueue(TimePoint now, const MemberRecord& claim);
-  // Queues it once more after a probe that failed: with a back-off that doubles, up to kMaxAttempts times.
+  // Queues a claim again after a failed probe, with exponential backoff, up to kMaxAttempts times.
   void RetryLater(TimePoint now, const Probe& failed);
-  // Probes what is queued and due, at most kMaxPerTick.
+  // Probes queued claims that are due, at most kMaxPerTick.
   void Run(TimePoint now);
-  // Drops what is no longer needed to tell repeated claims.
+  // Drops records that are no longer needed to recognize repeated claims.
   void ForgetOldClaims(TimePoint now);
 
  private:
--- a/src/membership/codec.hpp
+++ b/src/membership/codec.hpp
@@ -1,9 +1,9 @@
-// Messages as bytes, and back: two magic bytes, the protocol's version, a keyed MAC over the head and all
-// that follows it, then protobuf (fleet.proto). The MAC (HMAC-SHA512-256 of libsodium, RFC 2104) is checked
-// before anything is parsed, so that only holders of a key reach the parser. Does no I/O.
+// Encodes and decodes messages: two magic bytes, the protocol version, a keyed MAC over the head and the
+// body, then protobuf (fleet.proto). The MAC (HMAC-SHA512-256 of libsodium, RFC 2104) is checked before
+// parsing, so that only holders of a key reach the parser. Does no I/O.
 //
-// Two keys may be accepted while keys are rotated; the first one signs. With no key the MAC is made with an
-// all-zero key that everybody knows: it then detects corruption only, and the program binds to loopback only.
+// Two keys may be accepted during a key rotation; the first one signs. Without keys the MAC uses an all-zero
+// key: it then detects corruption only, and the program binds to loopback only.
 #ifndef DAPPLETILLER_MEMBERSHIP_CODEC_HPP_
 #define DAPPLETILLER_MEMBERSHIP_CODEC_HPP_
 
@@ -21,16 +21,16 @@
 using Key = std::array<unsigned char, 32>;
 constexpr std::size_t kMaxKeys = 2;
 
-// Why bytes are no message of this fleet.
+// Why a datagram is not a valid message of this fleet.
 enum class DecodeError {
   kTruncated,  // shorter than head and MAC
   kForeign,    // other magic bytes: some other protocol
   kVersion,    // another version of this protocol
-  kForged,     // no accepted key made this MAC
-  kMalformed,  // not protobuf, or out of the bounds of message.hpp
+  kForged,     // the MAC matches no accepted key
+  kMalformed,  // not protobuf, or outside the bounds of message.hpp
   kFleet       // of a fleet with another name
 };
-// The word under which the console counts this error.
+// The name of this error in the console's counters.
 std::string_view ToString(DecodeError error);
 
 class Codec {
@@ -42,7 +42,7 @@
   std::string Encode(const Message& message) const;
   // Never throws.
   Result<Message, DecodeError> Decode(std::string_view bytes) const;
-  // The part behind the MAC, for callers that have checked it (the fuzz target).
+  // Decodes the part after the MAC, for callers that have checked it (the fuzz target).
   Result<Message, DecodeError> DecodeBody(std::string_view body) const;
   void SetKeys(std::vector<Key> keys);
 
@@ -51,7 +51,7 @@
   std::vector<Key> keys_;
 };
 
-// What is wrong with a key file, in one line that never contains a key.
+// An invalid key file; a one-line description that never contains a key.
 struct KeyFileError {
   std::string message;
 };
--- a/src/membership/event_log.hpp
+++ b/src/membership/event_log.hpp
@@ -1,4 +1,4 @@
-// What has happened to the members, as this process sees it: a bounded log for operators and tests.
+// A bounded log of membership events as seen by this process, for operators and tests.
 #ifndef DAPPLETILLER_MEMBERSHIP_EVENT_LOG_HPP_
 #define DAPPLETILLER_MEMBERSHIP_EVENT_LOG_HPP_
 
@@ -15,18 +15,18 @@
 enum class EventKind {
   kJoined,
   kAlive,      // refuted a suspicion, or came back
-  kSuspected,  // its probes fail, or others say so
-  kDied,       // stayed silent through the whole suspicion
+  kSuspected,  // its probes fail, or others accuse it
+  kDied,       // did not respond during the whole suspicion
   kLeft,
   kRestarted,     // runs with a later boot
   kForgotten,     // removed from the table
   kNameConflict,  // another process uses this process's name
-  kDisplaced,     // this process gives up its name to a later start
-  kNameRegained,  // and takes it back
-  kPaused,        // this process stood still
+  kDisplaced,     // this process gives up its name to a process with a later boot
+  kNameRegained,  // this process takes its name back
+  kPaused,        // this process was paused
   kAlone          // the last other member died
 };
-// What happened, as a phrase behind the member's name: "joined", "is dead".
+// The event as a phrase that follows the member's name: "joined", "is dead".
 std::string_view Describe(EventKind kind);
 
 struct Event {
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -8,8 +8,8 @@
 namespace dappletiller::membership {
 namespace {
 
-// Whether a probe with this purpose is widened to helpers when its target doesn't answer. A claim's first
-// probe is not: it mostly suffices, and claims may be many.
+// Whether helpers are asked for indirect probes when the target does not answer. Not for the first probe of a
+// claim: it is usually sufficient, and there may be many claims.
 bool WantsHelpers(const Probe& probe) {
   switch (probe.purpose) {
     case ProbePurpose::kRound:
@@ -65,7 +65,7 @@
   }
 }
 
-// Whether the probe on another's behalf is over: its requester has then been sent a nack.
+// Returns whether a probe on behalf of another member is over; its requester has been sent a nack then.
 bool FailureDetector::HandleRelay(TimePoint now, std::uint64_t sequence, const Probe& probe, DueWork* due) {
   const Duration age = now - probe.sent_at;
   if (age < probe.timeout) {
@@ -79,7 +79,7 @@
   return true;
 }
 
-// Whether the probe is over: it has then failed.
+// Returns whether the probe has failed.
 bool FailureDetector::HandleProbe(TimePoint now, std::uint64_t sequence, const Probe& probe, DueWork* due) {
   const Duration age = now - probe.sent_at;
   if (age >= probe.timeout && !probe.helpers_asked && WantsHelpers(probe)) {
@@ -91,9 +91,9 @@
   return true;
 }
 
-// On a link that loses much, one datagram says little. The pings of a round are repeated as often as an
-// answer could be here by now, so that few members are suspected because of the link; the last ones before a
-// death, which all members send to one suspect at a time, less often.
+// On a lossy link a single lost datagram means little. Pings are repeated while an answer is still possible,
+// so that few members are suspected because of the link. The last pings before a member is declared dead,
+// which all members send to the same suspect, are repeated less often.
 bool FailureDetector::WantsRepetition(Duration age, const Probe& probe) const {
   const bool in_round = probe.purpose == ProbePurpose::kRound;
   if (!in_round && probe.purpose != ProbePurpose::kSuspicion) return false;
@@ -104,14 +104,14 @@
 }
 
 void FailureDetector::OnProbeFailed(TimePoint now, const Probe& probe, DueWork* due) {
-  // A probe from before the end of a partition may run out after the member has been heard from.
+  // A probe from before the end of a partition may expire after the member has responded.
   const Member* member = state_.members.Find(probe.name);
   if (member != nullptr && member->last_heard > probe.sent_at) return;
   if (probe.purpose == ProbePurpose::kVerification) {
     verifier_.RetryLater(now, probe);
   } else if (probe.purpose == ProbePurpose::kRound) {
     ++state_.counters.probes_failed;
-    // Helpers that stay silent too point to this process itself (Lifeguard).
+    // If helpers do not respond either, this process itself may be at fault (Lifeguard).
     const bool helpers_answered = probe.helpers > 0 && probe.nacks >= probe.helpers;
     if (!helpers_answered) state_.health.Degrade();
     due->failed.push_back(probe.name);
@@ -137,7 +137,7 @@
 
 // ---- Suspicions ----
 
-// Lifeguard's dynamic time-out: long with one accuser, falling to the minimum as others confirm the
+// Lifeguard's dynamic timeout: long with one accuser, decreasing to the minimum as others confirm the
 // suspicion.
 Duration FailureDetector::SuspicionTimeout(const Member& member) const {
   if (member.suspicion.reported_left) return kSuspicionProbes * kSuspicionProbeInterval;
@@ -180,7 +180,7 @@
   if (heard && suspicion.reported_left) {
     transitions_.MarkAlive(now, "did not leave", member);
   } else if (heard) {
-    // It sends to us, and refutes the suspicion once it learns of it.
+    // The member still sends messages, and refutes the suspicion when it learns of it.
     suspicion.started = now;
     suspicion.probes = 0;
   } else if (suspicion.reported_left) {
@@ -210,7 +210,7 @@
   verifier_.ForgetOldClaims(now);
   const std::set<std::string>& dead = state_.members.dead();
   if (dead.empty() || state_.faults.never_retry_dead) return;
-  // From a random one on, the first whose time has come.
+  // The first that is due, starting from a random one.
   auto it = std::next(dead.begin(), static_cast<std::ptrdiff_t>(state_.random(dead.size())));
   for (std::size_t i = 0; i < dead.size(); ++i, ++it) {
     if (it == dead.end()) it = dead.begin();
@@ -235,7 +235,7 @@
   Probe* probe =
       prober_.Start(now, ProbePurpose::kVerification, {member->record.name, member->record.address, 0});
   if (probe == nullptr) return;
-  probe->helpers_asked = true;  // helpers were asked when it died
+  probe->helpers_asked = true;  // helpers were asked before it was declared dead
   probe->attempts = ClaimVerifier::kMaxAttempts;
 }
 
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,9 +1,7 @@
 // SWIM's failure detector with Lifeguard's extensions: each interval one member is pinged; one that does not
 // answer is pinged through helpers, then suspected; a suspect that answers none of our own last probes is
-// dead.
-//
-// No member is declared dead on another's word. Dead members are probed again now and then, so that a
-// partition heals by itself.
+// dead. No member is declared dead because of another's claim alone. Dead members are probed again
+// periodically, so that partitions heal.
 #ifndef DAPPLETILLER_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 #define DAPPLETILLER_MEMBERSHIP_FAILURE_DETECTOR_HPP_
 
@@ -20,7 +18,7 @@
 
 class FailureDetector {
  public:
-  // All must outlive it.
+  // All must outlive this object.
   FailureDetector(ProtocolState& state, Transmitter& transmitter, Prober& prober,
                   MemberTransitions& transitions, ClaimVerifier& verifier)
       : state_(state),
@@ -31,19 +29,19 @@
 
   void ScheduleProbes(TimePoint now);
   void ScheduleDeadRetries(TimePoint now);
-  // A member that another accuses is to be probed at once, out of its turn.
+  // Probes a member that another one accuses soon, out of order.
   void ProbeSoon(const std::string& name) { probe_soon_.push_back(name); }
-  // Whether another member can be taken for ProbeSoon: at most kMaxProbedSoon wait.
+  // Whether ProbeSoon accepts another member: at most kMaxProbedSoon are queued.
   bool HasRoomToProbeSoon() const { return probe_soon_.size() < kMaxProbedSoon; }
   // Repeats, widens and ends open probes.
   void RunProbes(TimePoint now);
-  // Probes suspects whose time runs out, and decides on those that stayed silent.
+  // Probes suspects whose timeout is near, and declares those dead that do not respond.
   void RunSuspicions(TimePoint now);
   // Probes the next member in order.
   void ProbeNextMember(TimePoint now);
   // Probes one dead member, or forgets one that has been dead for long.
   void RetryDeadMember(TimePoint now);
-  // After this process stood still for `pause`: nothing that waits for an answer has waited in that time.
+  // After this process was paused: excludes the pause from all running timeouts.
   void Postpone(TimePoint now, Duration pause);
 
  private:
@@ -51,9 +49,9 @@
   static constexpr Duration kSuspicionProbeInterval = std::chrono::milliseconds(200);
   static constexpr Duration kMaxDeadRetryInterval = std::chrono::seconds(5);
   static constexpr std::size_t kMaxProbedSoon = 64;
-  static constexpr int kProbeTimeouts = 3;  // a probe fails after so many time-outs of its first ping
+  static constexpr int kProbeTimeouts = 3;  // a probe fails after this many timeouts of its first ping
 
-  // What open probes need, gathered in one pass and done after it.
+  // Work on open probes, collected in one pass and done after it.
   struct DueWork {
     std::vector<std::uint64_t> to_repeat;
     std::vector<std::uint64_t> to_ask_helpers;
--- a/src/membership/fingerprint.hpp
+++ b/src/membership/fingerprint.hpp
@@ -1,4 +1,4 @@
-// A member's start as 64 bits. Part of the protocol: processes compare digests made of these.
+// A 64-bit fingerprint of a member and its boot. Part of the protocol: processes compare digests of these.
 #ifndef DAPPLETILLER_MEMBERSHIP_FINGERPRINT_HPP_
 #define DAPPLETILLER_MEMBERSHIP_FINGERPRINT_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace dappletiller::membership {
 
-// XXH3 of `name`, seeded with `boot`: the same in all builds.
+// XXH3 of `name`, seeded with `boot`; the same in all builds.
 std::uint64_t Fingerprint(std::string_view name, std::uint64_t boot);
 
 }  // namespace dappletiller::membership
--- a/src/membership/gossip_handler.cpp
+++ b/src/membership/gossip_handler.cpp
@@ -64,7 +64,7 @@
 }
 
 void GossipHandler::OnUnknownMember(TimePoint now, const std::string& sender, const MemberRecord& record) {
-  // One that is dead to the sender is verified too: it may be the sender that is cut off.
+  // A member that the sender considers dead is verified too: the sender may be partitioned.
   if (record.state == MemberState::kLeft) return;
   Member* informer = state_.members.Find(sender);
   if (informer == nullptr) return;
@@ -80,7 +80,7 @@
   const bool later = record.incarnation > member->record.incarnation;
   const bool too_far = IsTooFarAhead(record, member->record.incarnation);
   if (!IsLiving(before) || too_far) {
-    // A dead member comes back by its own word only; one that left, if this is later than its leave.
+    // A dead member returns only by its own message; one that left, if the record is later than its leave.
     if (too_far || before == MemberState::kDead || later) verifier_.Enqueue(now, member->record);
     return;
   }
@@ -112,8 +112,8 @@
     return;
   }
   member->record.incarnation = std::max(member->record.incarnation, record.incarnation);
-  // Some of the members that learn of a suspicion probe the suspect at once: if all waited for its turn, none
-  // would confirm the suspicion before its longest time-out.
+  // Some of the members that learn of a suspicion probe the suspect immediately. If all waited for its turn,
+  // none would confirm the suspicion before its longest timeout.
   constexpr double kWantedProbes = 2.0 * MemberTransitions::kMaxConfirmations;
   const auto living = static_cast<double>(state_.members.living());
   const bool may_probe = before == MemberState::kAlive && detector_.HasRoomToProbeSoon();
@@ -124,7 +124,7 @@
 bool GossipHandler::IsCredible(TimePoint now, const std::string& accuser, const Member& accused) {
   Member* by = state_.members.Find(accuser);
   if (by == nullptr || !IsLiving(by->record.state)) return false;
-  // Confirming a suspicion that exists costs the accuser nothing.
+  // Confirming an existing suspicion does not count against the accuser's limit.
   return accused.record.state != MemberState::kAlive || by->accusations.TryTake(now);
 }
 
--- a/src/membership/gossip_handler.hpp
+++ b/src/membership/gossip_handler.hpp
@@ -1,5 +1,6 @@
-// What others say about members, this process included. Gossip alone makes nobody a member and nobody dead:
-// it decides whom to probe. It does spread suspicions, refutations and attributes of members that are known.
+// Handles gossip about members, including this process. Gossip alone neither adds members nor declares them
+// dead: it determines which members to probe. It spreads suspicions, refutations and attributes of known
+// members.
 #ifndef DAPPLETILLER_MEMBERSHIP_GOSSIP_HANDLER_HPP_
 #define DAPPLETILLER_MEMBERSHIP_GOSSIP_HANDLER_HPP_
 
@@ -15,7 +16,7 @@
 
 class GossipHandler {
  public:
-  // All must outlive it.
+  // All must outlive this object.
   GossipHandler(ProtocolState& state, MemberTransitions& transitions, FailureDetector& detector,
                 ClaimVerifier& verifier, NameConflict& name_conflict)
       : state_(state),
@@ -24,13 +25,13 @@
         verifier_(verifier),
         name_conflict_(name_conflict) {}
 
-  // `sender` says `record`.
+  // Handles `record`, received from `sender`.
   void OnGossip(TimePoint now, const std::string& sender, const MemberRecord& record);
-  // The operator's leave: from here on accusations of this process are not refuted.
+  // After an operator's leave: accusations of this process are no longer refuted.
   void StopRefuting() { refutes_ = false; }
 
  private:
-  // An incarnation may rise by so much on another's word.
+  // Maximum increase of an incarnation by another member's claim.
   static constexpr std::uint64_t kMaxIncarnationStep = 64;
 
   void OnGossipAboutSelf(TimePoint now, const std::string& sender, const MemberRecord& record);
@@ -40,7 +41,7 @@
   void OnLeft(TimePoint now, const MemberRecord& record, Member* member);
   void OnAccusation(TimePoint now, const std::string& sender, const MemberRecord& record, Member* member);
   bool IsCredible(TimePoint now, const std::string& accuser, const Member& accused);
-  // Whether a suspicion, death or leave is about the incarnation that is known, or a slightly later one.
+  // Whether a suspicion, death or leave concerns the known incarnation or a slightly later one.
   bool IsCurrentClaim(const MemberRecord& record, const Member& member);
   static bool IsTooFarAhead(const MemberRecord& record, std::uint64_t known_incarnation);
 
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -1,9 +1,6 @@
-// The members that this process knows, each in one of the four states of SWIM, and what follows from the
-// states: how many live, who is suspect, who is dead, and the digest by which two processes compare their
-// tables.
-//
-// Owns all Member objects; their addresses stay valid until Remove or Clear. Knows no messages and no
-// time-outs.
+// The table of known members, each in one of the four states of SWIM, with the number of living members, the
+// sets of suspect and dead members, and the digest by which two processes compare their tables. Owns all
+// Member objects; their addresses are valid until Remove or Clear. Does not handle messages or timeouts.
 #ifndef DAPPLETILLER_MEMBERSHIP_MEMBER_TABLE_HPP_
 #define DAPPLETILLER_MEMBERSHIP_MEMBER_TABLE_HPP_
 
@@ -21,35 +18,36 @@
 
 namespace dappletiller::membership {
 
-// What is known while a member is suspect.
+// State of a suspicion.
 struct Suspicion {
   TimePoint started;
-  TimePoint last_probe;  // of our own, sent because of the suspicion
+  TimePoint last_probe;  // sent by this process because of the suspicion
   int probes = 0;        // sent because of the suspicion
   std::set<std::string> accusers;
-  bool reported_left = false;  // another says that it has left: silence confirms that, not a death
+  bool reported_left =
+      false;  // another member reported that it left: silence then confirms the leave, not a death
 };
 
 struct Member {
-  static constexpr double kMaxAccusations = 5;    // believed at once
-  static constexpr double kAccusationRate = 0.5;  // a second, after that
-  static constexpr double kMaxNewNames = 2000;    // at once: as many as a full state exchange may bring
-  static constexpr double kNewNameRate = 20;      // a second, after that
+  static constexpr double kMaxAccusations = 5;    // accepted as a burst
+  static constexpr double kAccusationRate = 0.5;  // per second after the burst
+  static constexpr double kMaxNewNames = 2000;    // as a burst: as many as a full state exchange may contain
+  static constexpr double kNewNameRate = 20;      // per second after the burst
 
   MemberRecord record;
-  TimePoint since;       // in this state
-  TimePoint last_heard;  // a message of its own, or a helper's word that it answered
-  TimePoint retry_at;    // dead: not probed again before
+  TimePoint since;       // start of the current state
+  TimePoint last_heard;  // own message, or an answer reported by a helper
+  TimePoint retry_at;    // dead: next probe not before this time
   Suspicion suspicion;
   ReplayWindow replay_window;
-  // Bounds a member that calls all others suspect, be it a liar or cut off itself.
+  // Limits a member that accuses all others, because it is faulty or partitioned itself.
   TokenBucket accusations{kMaxAccusations, kAccusationRate};
-  // Bounds a member that has us probe thousands of addresses of its choice.
+  // Limits a member that makes this process probe thousands of addresses.
   TokenBucket new_names{kMaxNewNames, kNewNameRate};
-  std::uint64_t fingerprint = 0;  // its part of the digest
+  std::uint64_t fingerprint = 0;  // its contribution to the digest
 };
 
-// Takes over attributes of `from` that are new (up to `max_attributes` in all) or of a later version.
+// Copies attributes of `from` that are new (up to `max_attributes` in total) or have a later version.
 void MergeAttributes(const std::vector<Attribute>& from, std::size_t max_attributes,
                      std::vector<Attribute>* to);
 
@@ -64,17 +62,17 @@
   std::size_t living() const { return living_; }  // alive or suspect
   const std::set<std::string>& suspects() const { return suspects_; }
   const std::set<std::string>& dead() const { return dead_; }
-  // Of the living members' fingerprints; this process is not among them.
+  // Digest of the living members' fingerprints, without this process.
   std::uint64_t digest() const { return digest_; }
 
-  // Adds a member that the table doesn't have; it counts in no state until SetState.
+  // Adds a new member; it counts in no state until SetState.
   Member& Add(const MemberRecord& record);
   void SetState(TimePoint now, MemberState state, Member* member);
   void Remove(const std::string& name);
   void Clear();
-  // The member that has been dead or gone for longest; null if all live.
+  // The member that has been dead or left for the longest time; null if all are alive.
   const Member* FindLongestGone() const;
-  // Whether a living member is reached at `address`.
+  // Whether a living member has this address.
   bool HasLivingAt(const std::string& address) const;
 
  private:
--- a/src/membership/member_transitions.cpp
+++ b/src/membership/member_transitions.cpp
@@ -46,7 +46,7 @@
   SetState(now, MemberState::kAlive, EventKind::kJoined, "at " + record.address, &member);
   state_.probe_order.InsertAtRandom(record.name);
   state_.broadcasts.Enqueue(member.record);
-  // The first member that answers knows all the others.
+  // The first member that answers knows all others.
   const bool first = !joined_ || state_.members.living() == 1;
   if (first) anti_entropy_.RequestExchangeWith(record.name);
   joined_ = true;
@@ -56,14 +56,14 @@
   const MemberState before = member->record.state;
   member->record = record;
   member->record.accuser.clear();
-  member->record.state = before;  // the table still counts it in that state
+  member->record.state = before;  // the table still counts it in this state
   member->replay_window = ReplayWindow();
   SetState(now, MemberState::kAlive, EventKind::kRestarted, "now at " + record.address, member);
   if (!IsLiving(before)) state_.probe_order.Append(record.name);
   state_.broadcasts.Enqueue(member->record);
 }
 
-// The same start as is known: a later incarnation and later attributes count, and it may be back.
+// The known boot: accepts a later incarnation and later attributes; the member may be back.
 void MemberTransitions::TakeOver(TimePoint now, const MemberRecord& record, Member* member) {
   const MemberState before = member->record.state;
   const bool raised = record.incarnation > member->record.incarnation;
@@ -75,7 +75,7 @@
   const bool resurrected = before == MemberState::kDead;
   if (!refuted && !rejoined && !resurrected) return;
   if (resurrected) {
-    ++state_.counters.false_deaths;  // or it was cut off from us: only who reads the events can tell
+    ++state_.counters.false_deaths;  // or there was a partition; only the events can tell
     anti_entropy_.RequestExchangeWith(record.name);
   }
   MarkAlive(now, refuted ? "answered" : "back", member);
@@ -127,7 +127,7 @@
   ++state_.counters.deaths;
   for (const std::string& name : member->suspicion.accusers) {
     Member* accuser = state_.members.Find(name);
-    if (accuser != nullptr) accuser->accusations.Return();  // it was right
+    if (accuser != nullptr) accuser->accusations.Return();  // the accusation was correct
   }
   member->retry_at = now + kMinDeadRetryInterval;
   SetState(now, MemberState::kDead, EventKind::kDied, "silent", member);
--- a/src/membership/member_transitions.hpp
+++ b/src/membership/member_transitions.hpp
@@ -1,4 +1,4 @@
-// How members pass from one state to another, and what is disseminated when they do.
+// State transitions of members, and the updates that they disseminate.
 #ifndef DAPPLETILLER_MEMBERSHIP_MEMBER_TRANSITIONS_HPP_
 #define DAPPLETILLER_MEMBERSHIP_MEMBER_TRANSITIONS_HPP_
 
@@ -13,23 +13,23 @@
 class MemberTransitions {
  public:
   static constexpr int kMaxConfirmations =
-      3;  // accusers beyond the first that shorten a suspicion (Lifeguard)
+      3;  // accusers after the first that shorten a suspicion (Lifeguard)
   static constexpr Duration kMinDeadRetryInterval = std::chrono::seconds(1);
 
-  // Both must outlive it.
+  // Both must outlive this object.
   MemberTransitions(ProtocolState& state, AntiEntropy& anti_entropy)
       : state_(state), anti_entropy_(anti_entropy) {}
 
-  // A member answered a probe of ours, or a helper's on our behalf: what it says of itself counts.
+  // A member answered a probe of this process or of a helper, so its own statements are accepted.
   void ConfirmAlive(TimePoint now, const MemberRecord& record);
-  // `accuser` says that a living member does not answer.
+  // `accuser` reports that a living member does not answer.
   void Suspect(TimePoint now, const std::string& accuser, Member* member);
-  // Another says that it has left: our own probes decide within a short suspicion.
+  // Another member reports that it left; own probes decide within a short suspicion.
   void SuspectLeft(TimePoint now, std::uint64_t incarnation, Member* member);
   void MarkAlive(TimePoint now, const char* why, Member* member);
   void MarkDead(TimePoint now, Member* member);
   void MarkLeft(TimePoint now, std::uint64_t incarnation, const char* why, Member* member);
-  // Whether any member has ever been confirmed since the start, or since ForgetJoin.
+  // Whether any member has been confirmed since startup or ForgetJoin.
   bool joined() const { return joined_; }
   void ForgetJoin() { joined_ = false; }
 
@@ -38,7 +38,7 @@
   void Join(TimePoint now, const MemberRecord& record);
   void Restart(TimePoint now, const MemberRecord& record, Member* member);
   void TakeOver(TimePoint now, const MemberRecord& record, Member* member);
-  // Forgets the member that has been gone for longest; false if the table stays full.
+  // Forgets the member that has been dead or left for the longest time; false if the table stays full.
   bool MakeRoom(TimePoint now);
 
   ProtocolState& state_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -58,8 +58,8 @@
   return transmitter_.TakeOutgoing();
 }
 
-// Where calls are far apart this process stood still, not the others: what waits goes on waiting as if no
-// time had passed.
+// If ticks are far apart, this process was paused, not the others: pending timeouts are extended by the
+// pause.
 void Membership::CatchUp(TimePoint now) {
   const Duration gap = last_call_ == TimePoint{} ? Duration{} : now - last_call_;
   last_call_ = std::max(last_call_, now);
@@ -70,15 +70,16 @@
   anti_entropy_.Postpone(now);
   next_gossip_ = std::max(next_gossip_, now);
   next_seed_contact_ = std::max(next_seed_contact_, now);
-  constexpr int kWorthAnEvent = 5;  // thresholds
-  if (gap < kWorthAnEvent * state_.settings.pause_threshold) return;
+  constexpr int kEventThresholds = 5;  // thresholds
+  if (gap < kEventThresholds * state_.settings.pause_threshold) return;
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(gap).count();
   state_.events.Add(now, EventKind::kPaused, state_.self.name,
                     "stood still for " + std::to_string(milliseconds) + " ms");
 }
 
-// Until a member is known, all seeds. After that, now and then, one that no living member has as its address:
-// processes that started while they were cut off have met only one another, and at a seed both sides meet.
+// Probes all seeds until a member is known. After that, occasionally probes a seed that is not the address of
+// a living member: processes that started during a partition know only each other, and both sides meet at a
+// seed.
 void Membership::ContactSeeds(TimePoint now) {
   if (now < next_seed_contact_) return;
   const std::vector<std::string>& seeds = state_.settings.seeds;
@@ -151,7 +152,7 @@
 
 bool Membership::IsAddressedHere(const Message& message) const {
   if (!message.recipient.empty() && message.recipient != state_.self.name) return false;
-  // A ping for an earlier start of ours is answered: its sender learns of this one.
+  // A ping for an earlier boot of this process is answered, so that its sender learns of the current boot.
   const bool any_start = message.recipient_boot == 0 || message.kind == MessageKind::kPing;
   return any_start || message.recipient_boot == state_.self.boot;
 }
@@ -161,8 +162,8 @@
   Member* member = state_.members.Find(sender.name);
   const bool known =
       member != nullptr && member->record.boot == sender.boot && member->record.address == sender.address;
-  // An answer to an open probe is new whatever its number says, since only who received the ping can give it.
-  // The window restarts there: a forger's high numbers can't shut a member out for good.
+  // An answer to an open probe is new regardless of its number, since only the recipient of the ping can send
+  // it. The window restarts there, so that forged high numbers cannot exclude a member permanently.
   const bool answers_probe = known && AnswersOpenProbe(message);
   const bool fresh = known ? member->replay_window.Accept(message.number) : unknown_senders_.Accept(message);
   if (!fresh && !answers_probe) {
@@ -210,7 +211,7 @@
   return probe != prober_.open().end() && probe->second.name == message.sender.name;
 }
 
-// A known member sent something: that is no answer to a probe, so it proves little, but it is its own word.
+// A message of a known member: not an answer to a probe, but the member's own statement.
 void Membership::NoteSender(TimePoint now, const MemberRecord& sender, Member* member) {
   member->last_heard = now;
   const MemberState before = member->record.state;
@@ -234,7 +235,7 @@
 void Membership::OnPing(const Message& message) {
   Message ack = transmitter_.Make(MessageKind::kAck);
   ack.sequence = message.sequence;
-  // A member that says otherwise of itself than is known here is told so.
+  // A member whose own record differs from the known one is informed.
   const MemberRecord& sender = message.sender;
   const Member* member = state_.members.Find(sender.name);
   if (member != nullptr) {
@@ -296,7 +297,7 @@
   if (probe != prober_.open().end()) ++probe->second.nacks;
 }
 
-// ---- What this program says of itself ----
+// ---- Own record ----
 
 std::vector<Outgoing> Membership::Leave(TimePoint now) {
   if (is_leaving()) return {};
@@ -331,7 +332,7 @@
     attribute->value = value;
     ++attribute->version;
   }
-  // Others take a record only if its incarnation is later than theirs.
+  // Others accept a record only with a later incarnation.
   ++state_.self.incarnation;
   state_.broadcasts.Enqueue(state_.self);
   return true;
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,18 +1,13 @@
-// Group membership: which other processes of the fleet run, and how each is doing. SWIM (Das, Gupta,
-// Motivala, DSN 2002) with Lifeguard (Dadgar, Phillips, Currey, DSN 2018); docs/design/membership.md says
-// where it differs and why.
-//
-// Two rules hold throughout: nobody becomes a member without having answered a probe of this process, and
-// nobody is declared dead on another's word.
-//
-// Pure: messages and time in, messages and events out. No socket, clock, thread or global; randomness comes
-// from the seed. Every table is bounded. Messages that are foreign, stale, replayed or out of bounds change
-// nothing and are counted. Nothing throws. Not thread-safe.
-//
-// The parts, each with one job: MemberTable (who is known), FailureDetector and Prober (probes and
-// suspicions), MemberTransitions (from state to state), GossipHandler (what others say), ClaimVerifier (is it
-// so), BroadcastQueue (what is still to be said), AntiEntropy (full state exchange), NameConflict (another
-// process with our name).
+// Group membership: the other processes of the fleet and their states. SWIM (Das, Gupta, Motivala, DSN 2002)
+// with Lifeguard (Dadgar, Phillips, Currey, DSN 2018); docs/design/membership.md explains the differences.
+// Invariants: a process becomes a member only after it has answered a probe of this process, and a member is
+// never declared dead because of another member's claim alone. Pure: takes messages and time, returns
+// messages and events. No sockets, clocks, threads or global state; randomness comes from the seed. Every
+// table is bounded. Messages that are foreign, stale, replayed or out of bounds are counted and ignored.
+// Nothing throws. Not thread-safe. Parts: MemberTable (known members), FailureDetector and Prober (probes and
+// suspicions), MemberTransitions (state changes), GossipHandler (claims by others), ClaimVerifier
+// (verification of claims), BroadcastQueue (updates to disseminate), AntiEntropy (full state exchange),
+// NameConflict (another process with the same name).
 #ifndef DAPPLETILLER_MEMBERSHIP_MEMBERSHIP_HPP_
 #define DAPPLETILLER_MEMBERSHIP_MEMBERSHIP_HPP_
 
@@ -40,7 +35,7 @@
 enum class MessageVerdict {
   kAccepted,
   kMalformed,
-  kMisaddressed,  // for another member, or another start of this one
+  kMisaddressed,  // for another member, or another boot of this one
   kReplayed
 };
 
@@ -50,42 +45,42 @@
 };
 
 struct StateRequestResult {
-  std::optional<Message> response;  // to go back on the stream; none: the request was not accepted
+  std::optional<Message> response;  // to be sent back on the stream; nothing: the request was rejected
   std::vector<Outgoing> outgoing;
 };
 
 class Membership {
  public:
-  // Tick is to be called at least this often.
+  // Tick must be called at least this often.
   static constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 
   Membership(Settings settings, std::uint64_t seed, TestFaults faults = {});
 
-  // All times are of one monotonic clock. What these return is to be sent at once, in order.
-  [[nodiscard]] std::vector<Outgoing> Start(TimePoint now);  // once, before all else
+  // All times are of one monotonic clock. The returned messages must be sent immediately, in order.
+  [[nodiscard]] std::vector<Outgoing> Start(TimePoint now);  // once, before any other call
   [[nodiscard]] std::vector<Outgoing> Tick(TimePoint now);
-  // A message that a key of this fleet has authenticated.
+  // Handles a message that was authenticated with a key of this fleet.
   [[nodiscard]] ReceiveResult Receive(TimePoint now, const Message& message);
-  // The same for a kStateRequest that came over a stream.
+  // The same for a kStateRequest received over a stream.
   [[nodiscard]] StateRequestResult ReceiveStateRequest(TimePoint now, const Message& message);
-  // Announces that this process leaves; it may end once has_left() holds (within a second).
+  // Announces that this process leaves; it may exit once has_left() is true (within a second).
   [[nodiscard]] std::vector<Outgoing> Leave(TimePoint now);
 
   bool is_leaving() const { return leaving_since_ != TimePoint{}; }
   bool has_left(TimePoint now) const { return is_leaving() && now >= leaving_since_ + kLeaveTime; }
-  // An operator's word that a dead member will not come back. False: it is not dead here.
+  // An operator states that a dead member will not come back. False: it is not dead here.
   bool ForceRemove(TimePoint now, const std::string& name);
-  // Publishes a versioned attribute of this process. False: it is out of bounds, or there are kMaxAttributes.
+  // Publishes a versioned attribute of this process. False: out of bounds, or kMaxAttributes exist.
   bool Publish(const std::string& key, const std::string& value);
-  // Intervals, limits and seeds may change at any time; name, address, boot, zone and program stay.
+  // Changes intervals, limits and seeds; name, address, boot, zone and program stay.
   void UpdateSettings(const Settings& settings);
-  // A message of another part of the program; nothing if no such member lives.
+  // Creates a message of another part of the program; nothing if the member is not alive.
   std::optional<Outgoing> MakeApplicationMessage(const std::string& recipient, std::string topic,
                                                  std::string body);
 
   const MemberTable::Members& members() const { return state_.members.members(); }
   const MemberRecord& self() const { return state_.self; }
-  // Another process has taken this one's name.
+  // Whether another process has taken over this process's name.
   bool displaced() const { return name_conflict_.displaced(); }
   int health_score() const { return state_.health.score(); }      // 0: healthy (Lifeguard)
   std::size_t living() const { return state_.members.living(); }  // others that are alive or suspect
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -55,19 +55,19 @@
   kNack = 4,           // the pinged target did not answer the helper in time (Lifeguard)
   kGossip = 5,         // carries updates only
   kStateRequest = 6,   // full state exchange, over a stream
-  kStateResponse = 7,  // its answer, on the same stream
-  kApplication = 8     // of another part of the program: `topic` and `body`
+  kStateResponse = 7,  // the response, on the same stream
+  kApplication = 8     // for another part of the program: `topic` and `body`
 };
 
 struct Message {
   MessageKind kind = MessageKind::kGossip;
-  MemberRecord sender;  // by its own word
+  MemberRecord sender;  // as stated by the sender itself
   std::string recipient;
-  std::uint64_t recipient_boot = 0;  // 0: whichever start of it receives this
-  std::uint64_t number = 0;          // counts all messages of the sender since its start
-  std::uint64_t sequence = 0;        // ties an answer to its probe; not to be guessed
-  std::uint64_t digest = 0;          // of the members that the sender sees living, itself included; 0: none
-  std::string target;                // kPingRequest: whom to ping; kAck: who answered, if not the sender
+  std::uint64_t recipient_boot = 0;  // 0: any boot of the recipient
+  std::uint64_t number = 0;          // counts the sender's messages since its start
+  std::uint64_t sequence = 0;        // matches an answer to its probe; unpredictable
+  std::uint64_t digest = 0;          // of the living members as seen by the sender, including itself; 0: none
+  std::string target;  // kPingRequest: the member to ping; kAck: the member that answered, if not the sender
   std::string target_address;
   std::vector<MemberRecord> updates;
   std::string topic;
@@ -82,12 +82,12 @@
 bool IsWellFormed(const MemberRecord& record);
 bool IsWellFormed(const Message& message);
 
-// Boots and incarnations beyond this are never believed, so that a liar can't exhaust the range.
+// Larger boots and incarnations are rejected, so that a faulty member cannot exhaust the range.
 constexpr std::uint64_t kMaxCounter = 1ULL << 62;
-// Whether boot and incarnation lie below kMaxCounter.
+// Whether boot and incarnation are below kMaxCounter.
 bool HasPlausibleCounters(const MemberRecord& record);
 
-// A record that says no more about `record`'s member than its state and who claims it.
+// A record with only the state of `record`'s member and who claims it.
 MemberRecord MakeClaim(const MemberRecord& record, MemberState state, const std::string& accuser);
 
 }  // namespace dappletiller::membership
--- a/src/membership/name_conflict.cpp
+++ b/src/membership/name_conflict.cpp
@@ -26,7 +26,7 @@
     state_.events.Add(now, EventKind::kNameConflict, state_.self.name,
                       "another process with this name is at " + other.address);
   }
-  // An earlier start that probes us learns that we live, and gives way.
+  // A process with an earlier boot that probes this one learns that it is alive, and gives up the name.
   if (message.kind == MessageKind::kPing && other.boot < state_.self.boot) {
     Message ack;
     ack.kind = MessageKind::kAck;
@@ -57,8 +57,7 @@
                                            const MemberRecord& record) {
   if (record.boot + 1 >= kMaxCounter) return;
   const bool just_started = now < started_ + kTakeoverTime && !displaced_;
-  // Nobody else can be at our own address: that was this process, before a start that found the wall clock
-  // behind.
+  // No other process can have this address: it was this process, before a restart with an earlier wall clock.
   const bool own_past = record.address == state_.self.address;
   if (just_started || own_past) {
     RaiseBoot(record.boot);
@@ -66,7 +65,7 @@
   }
   if (record.address.empty()) return;
   if (!IsLiving(record.state)) {
-    // One alone could have us raise our boot for ever.
+    // A single member could make this process increase its boot forever.
     says_other_is_gone_.insert(sender);
     const std::size_t needed = std::min(kWitnesses, state_.members.living());
     if (says_other_is_gone_.size() >= needed) RaiseBoot(record.boot);
--- a/src/membership/name_conflict.hpp
+++ b/src/membership/name_conflict.hpp
@@ -1,8 +1,8 @@
-// Two processes with one name. The one with the later boot keeps it: a process that has just started outbids
-// an earlier start; one that finds a later start alive is displaced, forgets the fleet, and takes its name
-// back once the other has been silent for long.
+// Resolves conflicts between two processes with the same name. The one with the later boot keeps it. A
+// process that finds a later boot alive is displaced: it forgets the fleet, and takes its name back when the
+// other has been silent for long.
 //
-// Nothing is given up on hearsay: the other must answer a probe first.
+// A name is never given up because of gossip alone: the other process must answer a probe first.
 #ifndef DAPPLETILLER_MEMBERSHIP_NAME_CONFLICT_HPP_
 #define DAPPLETILLER_MEMBERSHIP_NAME_CONFLICT_HPP_
 
@@ -17,22 +17,22 @@
 
 class NameConflict {
  public:
-  // All must outlive it.
+  // All must outlive this object.
   NameConflict(ProtocolState& state, Transmitter& transmitter, Prober& prober, UnknownSenderFilter& filter)
       : state_(state), transmitter_(transmitter), prober_(prober), filter_(filter) {}
 
   void Start(TimePoint now);
-  // Whether this process has given up its name: it then takes no part until RegainName.
+  // Whether this process has given up its name; it is inactive until RegainName then.
   bool displaced() const { return displaced_; }
 
   // A message whose sender has this process's name.
   void OnMessage(TimePoint now, const Message& message);
-  // `sender` says that a later start of this name exists.
+  // `sender` claims that a later boot of this name exists.
   void OnGossipAboutLaterStart(TimePoint now, const std::string& sender, const MemberRecord& record);
   // Probes the other process when that is due.
   void Run(TimePoint now);
-  // While displaced: whether the other has been silent for long enough. If so the name is taken back, with a
-  // boot above the other's, and the caller joins the fleet anew.
+  // While displaced: returns whether the other process has been silent for long enough. If so, the name is
+  // taken back with a boot above the other's, and the caller must join the fleet again.
   bool RegainName(TimePoint now);
 
  private:
@@ -40,7 +40,7 @@
   static constexpr Duration kSilenceToRegain = std::chrono::seconds(15);
   static constexpr Duration kTakeoverTime = std::chrono::seconds(3);  // since the start
   static constexpr Duration kEventInterval = std::chrono::seconds(10);
-  // Members that have to say that the other start is gone, where there are so many.
+  // Number of members that must report the other process as gone, if there are as many.
   static constexpr std::size_t kWitnesses = 2;
 
   void OnOtherAnswered(TimePoint now, const MemberRecord& other);
@@ -54,7 +54,7 @@
   TimePoint started_;
   TimePoint next_probe_;
   bool displaced_ = false;
-  std::string other_address_;  // empty: nobody is known to use our name
+  std::string other_address_;  // empty: no other process with this name is known
   std::uint64_t other_boot_ = 0;
   TimePoint other_heard_at_;
   TimePoint last_event_;                      // epoch: none yet
--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -5,7 +5,7 @@
 namespace dappletiller::membership {
 namespace {
 
-// Draws for each member that is wanted, and a few more: dead members stand in the list until the round ends.
+// Several draws per member, since dead members stay in the list until the end of the round.
 constexpr std::size_t kDrawsPerMember = 4;
 constexpr std::size_t kExtraDraws = 8;
 
--- a/src/membership/probe_order.hpp
+++ b/src/membership/probe_order.hpp
@@ -1,5 +1,6 @@
-// In which order members are probed: a shuffled list, gone through and shuffled anew (SWIM, 4.3), so that the
-// time until a failed member is probed is bounded. Also draws random members for gossip and indirect probes.
+// The order in which members are probed: a shuffled list, reshuffled after each round (SWIM, 4.3), so that
+// the time until a failed member is probed is bounded. Also selects random members for gossip and indirect
+// probes.
 #ifndef DAPPLETILLER_MEMBERSHIP_PROBE_ORDER_HPP_
 #define DAPPLETILLER_MEMBERSHIP_PROBE_ORDER_HPP_
 
@@ -14,19 +15,20 @@
 
 class ProbeOrder {
  public:
-  // Both must outlive it.
+  // Both must outlive this object.
   ProbeOrder(MemberTable& members, pcg64& random) : members_(members), random_(random) {}
 
-  // A member that joined: somewhere in this round or, if its place is past already, in the next one.
+  // Inserts a new member at a random position: it is probed in this round or, if the position has passed, in
+  // the next.
   void InsertAtRandom(const std::string& name);
-  // A member that came back; it may stand in the list already.
+  // Adds a member that came back; it may be in the list already.
   void Append(const std::string& name);
   void Clear();
 
   // The next living member; null if there is none.
   const Member* Next();
-  // Up to `count` different members that are alive, without the one named `except`. Gives up after a few
-  // draws, so it may return fewer than there are.
+  // Selects up to `count` different living members except `except`. May return fewer than exist, since the
+  // number of draws is limited.
   std::vector<const Member*> PickAlive(std::size_t count, const std::string& except = {});
 
  private:
--- a/src/membership/prober.cpp
+++ b/src/membership/prober.cpp
@@ -11,7 +11,7 @@
 
 Probe* Prober::Start(TimePoint now, ProbePurpose purpose, const ProbeTarget& target) {
   if (probes_.size() >= kMaxOpen) return nullptr;
-  // The bit above the mask keeps a sequence number from being 0.
+  // The bit above the mask ensures that a sequence number is not 0.
   const std::uint64_t sequence = (state_.random() & ~kRepetitionMask) | (kRepetitionMask + 1);
   Probe& probe = probes_[sequence];
   probe.purpose = purpose;
--- a/src/membership/protocol_state.hpp
+++ b/src/membership/protocol_state.hpp
@@ -1,5 +1,5 @@
-// What the parts of the membership protocol share. Owned by Membership, which hands it to each part; only the
-// part that is named for a piece of it changes that piece.
+// State shared by the parts of the membership protocol. Owned by Membership and passed to each part; each
+// member is modified only by the part responsible for it.
 #ifndef DAPPLETILLER_MEMBERSHIP_PROTOCOL_STATE_HPP_
 #define DAPPLETILLER_MEMBERSHIP_PROTOCOL_STATE_HPP_
 
@@ -15,14 +15,14 @@
 
 namespace dappletiller::membership {
 
-// Since the start.
+// Counted since startup.
 struct Counters {
   std::uint64_t received = 0;
   std::uint64_t sent = 0;
   std::uint64_t sent_bytes = 0;  // by EncodedSizeBound
   std::uint64_t misaddressed = 0;
   std::uint64_t replayed = 0;
-  std::uint64_t stale = 0;  // records of an earlier boot than is known
+  std::uint64_t stale = 0;  // records of an earlier boot than the known one
   std::uint64_t malformed = 0;
   std::uint64_t accusations_ignored = 0;
   std::uint64_t claims_ignored = 0;
@@ -39,15 +39,15 @@
 
 struct ProtocolState {
   ProtocolState(Settings initial, TestFaults planted, std::uint64_t seed);
-  // Parts hold references into it.
+  // Not copyable: parts keep references into it.
   ProtocolState(const ProtocolState&) = delete;
   ProtocolState& operator=(const ProtocolState&) = delete;
 
-  // How often an update is sent before it is retired.
+  // Number of transmissions before an update is removed from the queue.
   int MaxTransmissions() const;
-  // Of the members that this process sees living, itself included.
+  // Digest of the living members, including this process.
   std::uint64_t Digest() const;
-  // A random span below `limit`.
+  // A random duration below `limit`.
   Duration RandomBelow(Duration limit);
   // True with this probability.
   bool Chance(double probability);
--- a/src/membership/replay_filter.hpp
+++ b/src/membership/replay_filter.hpp
@@ -1,5 +1,5 @@
-// Tells messages that come again from new ones: by number for members that are known, by a bounded memory of
-// recent messages for unknown senders.
+// Detects replayed messages: by number for known members, by a bounded memory of recent messages for unknown
+// senders.
 #ifndef DAPPLETILLER_MEMBERSHIP_REPLAY_FILTER_HPP_
 #define DAPPLETILLER_MEMBERSHIP_REPLAY_FILTER_HPP_
 
@@ -16,9 +16,9 @@
 // The sliding window of one sender's message numbers (as in RFC 4303, section 3.4.3).
 class ReplayWindow {
  public:
-  // False if this number has come before, or is too far behind the highest to tell.
+  // False if this number has been received before, or is too far below the highest to know.
   bool Accept(std::uint64_t number);
-  // From here on `number` is the highest; lower ones that had been lost in between may come again.
+  // Makes `number` the highest one; lower numbers that were lost may still be received.
   void RestartAt(std::uint64_t number);
   std::uint64_t highest() const { return highest_; }
 
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -1,4 +1,4 @@
-// What can be set of the membership protocol. Defaults are those of docs/design/membership.md.
+// Settings of the membership protocol. The defaults are explained in docs/design/membership.md.
 #ifndef DAPPLETILLER_MEMBERSHIP_SETTINGS_HPP_
 #define DAPPLETILLER_MEMBERSHIP_SETTINGS_HPP_
 
@@ -13,10 +13,10 @@
 
 struct Settings {
   std::string name;     // of this process: 1 to kMaxNameLength printable characters
-  std::string address;  // where the others reach it, "a.b.c.d:port"
+  std::string address;  // address for other members, "a.b.c.d:port"
   std::string zone;
   std::string program;     // version of the program
-  std::uint64_t boot = 0;  // grows from start to start; only its order counts (Unix microseconds will do)
+  std::uint64_t boot = 0;  // increases with each start; only the order matters (Unix microseconds will do)
   std::vector<std::string> seeds;  // addresses to join by
 
   Duration probe_interval = std::chrono::milliseconds(500);  // one member is probed, in shuffled order
@@ -31,17 +31,18 @@
   int indirect_probes = 3;              // helpers asked to ping a member that does not answer
   int gossip_fanout = 3;                // members that a round of gossip goes to
   int retransmit_multiplier = 4;        // an update is sent this often times log2 of the members
-  Duration dead_member_retention = std::chrono::hours(72);  // a dead member is retried for so long
+  Duration dead_member_retention = std::chrono::hours(72);  // how long a dead member is retried
   std::size_t max_members = 4096;
-  std::size_t max_datagram_size = 1400;                       // bytes, MAC and all
-  Duration pause_threshold = std::chrono::milliseconds(400);  // ticks further apart mean that we stood still
+  std::size_t max_datagram_size = 1400;  // bytes, including the MAC
+  Duration pause_threshold =
+      std::chrono::milliseconds(400);  // ticks further apart mean that the process was paused
 };
 
-// Faults that a test plants to show that its checks can fail (docs/membership.md, Simulated). Production code
-// passes none.
+// Faults that tests plant to show that their checks can fail (docs/membership.md, Simulated). Not used in
+// production.
 struct TestFaults {
   bool never_refute = false;          // accusations of this member stay unanswered
-  bool never_retire_updates = false;  // an update is gossiped for ever
+  bool never_retire_updates = false;  // updates are gossiped forever
   bool never_retry_dead = false;      // dead members are not probed again
 };
 
--- a/src/membership/token_bucket.hpp
+++ b/src/membership/token_bucket.hpp
@@ -24,7 +24,7 @@
     return true;
   }
 
-  // Gives one token back, up to the capacity.
+  // Returns one token, up to the capacity.
   void Return() { tokens_ = std::min(capacity_, tokens_ + 1); }
 
  private:
--- a/src/membership/transmitter.cpp
+++ b/src/membership/transmitter.cpp
@@ -5,7 +5,7 @@
 namespace dappletiller::membership {
 namespace {
 
-// The recipient's name is filled in after the updates, and may be as long as any.
+// Reserved for the recipient's name, which is filled in after the updates.
 constexpr std::size_t kRecipientSize = kMaxNameLength + 3;
 
 bool CarriesDigest(MessageKind kind) { return kind == MessageKind::kPing || kind == MessageKind::kAck; }
--- a/src/membership/transmitter.hpp
+++ b/src/membership/transmitter.hpp
@@ -1,4 +1,4 @@
-// Stamps messages with what every message carries and collects them for the transport.
+// Fills in the common fields of messages and collects them for the transport.
 #ifndef DAPPLETILLER_MEMBERSHIP_TRANSMITTER_HPP_
 #define DAPPLETILLER_MEMBERSHIP_TRANSMITTER_HPP_
 
@@ -10,30 +10,30 @@
 
 namespace dappletiller::membership {
 
-// A message that the transport is to send at once.
+// A message to be sent by the transport.
 struct Outgoing {
   std::string address;  // as advertised by the recipient
   Message message;
-  bool over_stream = false;  // over a connection, on which the response comes back
+  bool over_stream = false;  // over a connection, which also carries the response
 };
 
 class Transmitter {
  public:
-  // `state` must outlive it.
+  // `state` must outlive this object.
   explicit Transmitter(ProtocolState& state) : state_(state) {}
 
-  // An empty `recipient`, or a boot of 0: whoever is there.
+  // An empty `recipient` or a boot of 0 means any process at the address.
   void Send(const std::string& address, const std::string& recipient, std::uint64_t recipient_boot,
             Message message);
   void SendTo(const Member& member, Message message);
-  // Adds pending updates to `message`, as far as a datagram has room for them.
+  // Adds pending updates to `message` up to the size of a datagram.
   void PiggybackUpdates(Message* message);
-  // A message of `kind`, filled in as far as all messages are the same.
+  // Creates a message of `kind` with the common fields.
   Message Make(MessageKind kind) const;
   // Fills in sender, recipient and number, and counts the message's bytes as sent.
   void Stamp(const std::string& recipient, std::uint64_t recipient_boot, Message* message);
 
-  // All that was sent since the last call, in order.
+  // The messages collected since the last call, in order.
   std::vector<Outgoing> TakeOutgoing();
 
  private:
--- a/src/membership/transport/membership_transport.cpp
+++ b/src/membership/transport/membership_transport.cpp
@@ -71,7 +71,8 @@
 
 }  // namespace
 
-// With port 0 the kernel chooses one for streams, which may be taken for datagrams: then another is tried.
+// With port 0 the kernel chooses a port for streams, which may be in use for datagrams: then another is
+// tried.
 MembershipTransport::Sockets MembershipTransport::Bind(const Endpoint& where) {
   for (int attempt = 0;; ++attempt) {
     BoundSocket streams = BindTcpListener(where, kListenBacklog, kPurpose);
@@ -135,11 +136,11 @@
     }
   }
   SendQueued();
-  // In a flood the rest of the process waits for a round, not for good.
+  // Under a flood of datagrams, other events are processed between rounds.
   loop_.NotifyAgain(datagram_watch_, 0);
 }
 
-// False: there is none.
+// False: no datagram is available.
 bool MembershipTransport::ReceiveDatagram() {
   std::array<char, kMaxDatagramSize> bytes;
   const ssize_t size = ::recv(sockets_.datagrams.get(), bytes.data(), bytes.size(), MSG_DONTWAIT);
@@ -164,7 +165,7 @@
   Queue(quota_leases_->OnMessage(Now(), message));
 }
 
-// Leases are between members only, and between the starts of them that both know.
+// Leases are exchanged only between members that know each other's current boot.
 bool MembershipTransport::IsFromKnownMember(const Message& message) const {
   if (message.sender.name == membership_.settings().name) return true;
   const auto member = membership_.members().find(message.sender.name);
@@ -183,7 +184,7 @@
       if (errno == EINTR || errno == ECONNABORTED) continue;
       return;
     }
-    // The oldest goes, so that peers that stay silent can't hold every place.
+    // The oldest is closed, so that silent peers cannot use up all connections.
     if (streams_.size() >= kMaxStreams) OnFinished(*streams_.front());
     streams_.push_back(MakeStream());
     StateExchangeStream& stream = *streams_.back();
@@ -251,7 +252,7 @@
   const sockaddr_in address = ToSocketAddress(where);
   const auto* generic =
       reinterpret_cast<const sockaddr*>(&address);  // NOLINT(*-reinterpret-cast): the sockets API
-  // What can't be sent now is lost, as on the way: nothing relies on a datagram's arrival.
+  // A datagram that cannot be sent now is lost, like one lost on the network: the protocol tolerates that.
   ::sendto(sockets_.datagrams.get(), bytes.data(), bytes.size(), MSG_DONTWAIT, generic, sizeof address);
   traffic_.bytes_out += bytes.size();
   ++traffic_.datagrams_out;
@@ -264,7 +265,7 @@
   if (stream->Connect(where, bytes)) streams_.push_back(std::move(stream));
 }
 
-// Where an advertised address is reached from here; port 0 if it is no address.
+// The address to use for an advertised address; port 0 if it is malformed.
 Endpoint MembershipTransport::Resolve(const std::string& advertised) const {
   const auto known = options_.addresses.find(advertised);
   if (known != options_.addresses.end()) return known->second;
@@ -281,7 +282,7 @@
   }
 }
 
-// ---- The operators' words ----
+// ---- Operator commands ----
 
 void MembershipTransport::Leave() {
   if (membership_.is_leaving()) return;
--- a/src/membership/transport/membership_transport.hpp
+++ b/src/membership/transport/membership_transport.hpp
@@ -1,8 +1,6 @@
 // Carries membership and quota leases over the network: datagrams, and streams for full state exchanges, on
-// one port.
-//
-// It decides nothing. All that comes from outside is bounded: datagrams in one round, streams at a time,
-// bytes and time of each. What can't be decoded is counted by its reason. Owns Membership and the quota lease
+// one port. It decides nothing. All input is bounded: datagrams per round, concurrent streams, and the bytes
+// and time of each. Input that cannot be decoded is counted by reason. Owns Membership and the quota lease
 // session; lives on the event loop; nothing throws after Start.
 #ifndef DAPPLETILLER_MEMBERSHIP_TRANSPORT_MEMBERSHIP_TRANSPORT_HPP_
 #define DAPPLETILLER_MEMBERSHIP_TRANSPORT_MEMBERSHIP_TRANSPORT_HPP_
@@ -31,7 +29,7 @@
   static constexpr int kMaxDatagramsPerRound = 64;
   static constexpr std::size_t kMaxStreams = 16;
 
-  // Since the start.
+  // Counted since startup.
   struct Traffic {
     std::uint64_t bytes_in = 0;
     std::uint64_t bytes_out = 0;
@@ -40,22 +38,21 @@
   };
   using DecodeErrors = std::map<membership::DecodeError, std::uint64_t>;
 
-  // Binds at once: the address that others reach has to be known before anything is sent. Throws
-  // std::system_error. `name` and `zone` are used where the options leave them open.
+  // Binds immediately, since the advertised address must be known before anything is sent. Throws
+  // std::system_error. `name` and `zone` are defaults for the options.
   MembershipTransport(EventLoop& loop, Log& log, operators::FleetOptions options, const std::string& name,
                       const std::string& zone, QuotaShareObserver& observer);
   ~MembershipTransport();
 
   void Start();  // throws std::system_error
   std::uint16_t port() const { return sockets_.port; }
-  // Gives back leases and announces that this process leaves. Ends by itself.
+  // Releases leases and announces that this process leaves the fleet.
   void Leave();
   bool has_left() const { return membership_.has_left(Now()); }
-  // Takes over intervals, seeds, keys and addresses. False if the options differ in something that needs a
-  // restart.
+  // Applies new intervals, seeds, keys and addresses. False if another option differs, which needs a restart.
   bool Reload(operators::FleetOptions options);
   bool ForceRemove(const std::string& name) { return membership_.ForceRemove(Now(), name); }
-  // The state as JSON, for the console, with the events numbered above `after`.
+  // The state as JSON for the console, with events numbered above `after`.
   std::string StatusJson(std::uint64_t after) const;
 
   const membership::Membership& membership() const { return membership_; }
--- a/src/membership/transport/quota_lease_session.cpp
+++ b/src/membership/transport/quota_lease_session.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kRequestTopic = "loan-ask";
 constexpr const char* kResponseTopic = "loan-answer";
 
-// Requests within one lease: three, so that two may be lost; six while there is none.
+// Requests per lease duration: three, so that two may be lost; six while there is no lease.
 constexpr int kRequestsPerLease = 3;
 constexpr int kRequestsPerLeaseWithoutShare = 6;
 
--- a/src/membership/transport/quota_lease_session.hpp
+++ b/src/membership/transport/quota_lease_session.hpp
@@ -1,8 +1,6 @@
 // Quota leases between members: sends this process's lease requests, answers others' if it is a granter, and
-// reports what share of the quotas this process may use.
-//
-// Owns the LeaseHolder and, in a granter, the LeaseGranter. Does no I/O: what is to be sent is returned.
-// Lives on the event loop.
+// reports what share of the quotas this process may use. Owns the LeaseHolder and, in a granter, the
+// LeaseGranter. Does no I/O: messages to send are returned. Lives on the event loop.
 #ifndef DAPPLETILLER_MEMBERSHIP_TRANSPORT_QUOTA_LEASE_SESSION_HPP_
 #define DAPPLETILLER_MEMBERSHIP_TRANSPORT_QUOTA_LEASE_SESSION_HPP_
 
@@ -36,28 +34,28 @@
 
 class QuotaLeaseSession {
  public:
-  // What the observer was told, and when.
+  // A share that was reported to the observer, and when.
   struct Report {
     TimePoint at;
     TimePoint valid_until;
     double share = 0;
   };
-  static constexpr std::size_t kMaxReports = 64;  // kept, for those who check from outside
+  static constexpr std::size_t kMaxReports = 64;  // kept for external checks
 
-  // All references must outlive it.
+  // All references must outlive the session.
   QuotaLeaseSession(Log& log, membership::Membership& membership, QuotaLeaseOptions options,
                     QuotaShareObserver& observer, TimePoint now);
 
-  // Reports the share that this process has at its start: none.
+  // Reports the initial share, which is zero.
   void Start(TimePoint now) { ReportShare(now); }
-  // Sends what is due and reports a share that has changed.
+  // Returns requests that are due and reports a changed share.
   [[nodiscard]] std::vector<membership::Outgoing> Run(TimePoint now);
-  // A message of a member that is known; messages of other topics are ignored.
+  // Handles a message of a known member; messages of other topics are ignored.
   [[nodiscard]] std::vector<membership::Outgoing> OnMessage(TimePoint now,
                                                             const membership::Message& message);
-  // Stops using any share, then gives it back.
+  // Stops using the share and releases it.
   [[nodiscard]] std::vector<membership::Outgoing> Release(TimePoint now);
-  // Another process has this one's name, and with it its leases.
+  // Another process has taken over this process's name, and with it its leases.
   void OnDisplaced(TimePoint now, std::uint64_t new_boot);
 
   const quota_lease::LeaseHolder& holder() const { return holder_; }
--- a/src/membership/transport/state_exchange_stream.hpp
+++ b/src/membership/transport/state_exchange_stream.hpp
@@ -1,5 +1,5 @@
-// One full state exchange over a connection: a frame each way, each with its length in front (four bytes,
-// little endian). The side that connects sends its request and closes once it has the response.
+// One full state exchange over a connection: one frame in each direction, prefixed with its length (four
+// bytes, little endian). The connecting side sends its request and closes after the response.
 #ifndef DAPPLETILLER_MEMBERSHIP_TRANSPORT_STATE_EXCHANGE_STREAM_HPP_
 #define DAPPLETILLER_MEMBERSHIP_TRANSPORT_STATE_EXCHANGE_STREAM_HPP_
 
@@ -20,29 +20,29 @@
   static constexpr std::size_t kMaxFrameSize = std::size_t{2} * 1024 * 1024;
   static constexpr Micros kTimeLimit = 3'000'000;  // of the whole exchange
 
-  // Called from within the stream's callbacks; it may close the stream but not free it
-  // (EventLoop::DeferDelete).
+  // Called from within the stream's callbacks. May close the stream, but must free it only through
+  // EventLoop::DeferDelete.
   class Owner {
    public:
-    // A whole request has come on a connection that was accepted. Returns the response; none ends the
+    // A complete request was received on an accepted connection. Returns the response; nothing ends the
     // exchange.
     virtual std::optional<std::string> OnRequest(std::string_view frame) = 0;
-    // A whole response has come to the request of Connect. The exchange is over after it.
+    // The complete response to the request of Connect was received. The exchange is over after it.
     virtual void OnResponse(std::string_view frame) = 0;
     virtual void OnBytesReceived(std::size_t count) = 0;
-    // The exchange is over, has failed or has taken too long.
+    // The exchange is over, has failed or has timed out.
     virtual void OnFinished(StateExchangeStream& stream) = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // Both must outlive it.
+  // Both must outlive the stream.
   StateExchangeStream(EventLoop& loop, Owner& owner);
 
-  // Takes over an accepted connection. False: it failed at once.
+  // Takes ownership of an accepted connection. False: it failed immediately.
   bool Adopt(FileDescriptor connection) { return socket_.Adopt(std::move(connection)); }
-  // Connects and sends `request`. False: it failed at once.
+  // Connects and sends `request`. False: it failed immediately.
   bool Connect(const Endpoint& where, const std::string& request);
   void Close() { socket_.Close(); }
 
--- a/src/membership/transport/status_json.hpp
+++ b/src/membership/transport/status_json.hpp
@@ -1,5 +1,5 @@
-// The state of membership and quota leases as JSON, as the console answers GET /_fleet. Its keys are an
-// interface of the operators (docs/membership.md) and don't change with names in the code.
+// The state of membership and quota leases as JSON, for the console's GET /_fleet. The keys are an interface
+// for operators (docs/membership.md) and do not change with names in the code.
 #ifndef DAPPLETILLER_MEMBERSHIP_TRANSPORT_STATUS_JSON_HPP_
 #define DAPPLETILLER_MEMBERSHIP_TRANSPORT_STATUS_JSON_HPP_
 
@@ -18,7 +18,7 @@
   const QuotaLeaseSession* quota_leases;  // null: this fleet has none
 };
 
-// With the events numbered above `after`.
+// Includes events numbered above `after`.
 std::string WriteStatusJson(TimePoint now, std::uint64_t after, const MembershipStatus& status);
 
 }  // namespace dappletiller
--- a/src/proxy/components.hpp
+++ b/src/proxy/components.hpp
@@ -1,5 +1,4 @@
-// All parts of one proxy, wired together. Owns them; they refer to one another, so it is neither copied nor
-// moved.
+// Owns all parts of one proxy and connects them. They refer to each other, so it is neither copied nor moved.
 #ifndef DAPPLETILLER_PROXY_COMPONENTS_HPP_
 #define DAPPLETILLER_PROXY_COMPONENTS_HPP_
 
@@ -43,7 +42,7 @@
   ProxyComponents(const ProxyComponents&) = delete;
   ProxyComponents& operator=(const ProxyComponents&) = delete;
 
-  // Begins to serve, with the servers that the configuration lists. Throws std::system_error or ConfigError.
+  // Starts to serve, with the servers listed in the configuration. Throws std::system_error or ConfigError.
   void Start();
 
   Log& log;
--- a/src/proxy/console_commands.cpp
+++ b/src/proxy/console_commands.cpp
@@ -36,7 +36,7 @@
 
 ConsoleReply ConsoleCommands::SetLameDuck(bool on) {
   if (on != components_.listener.lame_duck()) {
-    components_.log.Info("lame duck %s: %zu client connections", on ? "on" : "off",
+    components_.log.Info("lame-duck mode %s: %zu client connections", on ? "on" : "off",
                          components_.listener.connections());
   }
   components_.listener.SetLameDuck(on);
--- a/src/proxy/console_commands.hpp
+++ b/src/proxy/console_commands.hpp
@@ -1,4 +1,4 @@
-// What the console's commands do to a running proxy.
+// Executes the console's commands on a running proxy.
 #ifndef DAPPLETILLER_PROXY_CONSOLE_COMMANDS_HPP_
 #define DAPPLETILLER_PROXY_CONSOLE_COMMANDS_HPP_
 
@@ -10,11 +10,11 @@
 
 class ConsoleCommands final : public ConsoleHandler {
  public:
-  // Both must outlive it.
+  // Both must outlive this object.
   ConsoleCommands(ProxyComponents& components, const DrainStateStorage& storage)
       : components_(components), storage_(storage) {}
 
-  // From here on the proxy says that it is not ready.
+  // From now on the proxy reports that it is not ready.
   void OnShutdown() { shutting_down_ = true; }
   ConsoleReply Do(const console::Command& command) override;
 
--- a/src/proxy/drain_state_storage.cpp
+++ b/src/proxy/drain_state_storage.cpp
@@ -35,14 +35,15 @@
   std::ostringstream text;
   text << file.rdbuf();
   auto drains = drain::ParseDrains(text.str());
-  if (!drains) log_.Info("drain state: %s is incomplete or not ours; ignored", path_.c_str());
+  if (!drains) log_.Info("drain state: %s is incomplete or has another format; ignored", path_.c_str());
   return drains;
 }
 
 void DrainStateStorage::Save(const drain::AdministrativeDrains& drains) const {
   const std::string temporary = path_ + "." + std::to_string(::getpid());
   if (!WriteFile(temporary, drain::SerializeDrains(drains))) {
-    log_.Info("drain state: %s cannot be written; a successor will not know it", temporary.c_str());
+    log_.Info("drain state: %s cannot be written; a successor will not know the drained servers",
+              temporary.c_str());
     return;
   }
   std::error_code error;
--- a/src/proxy/drain_state_storage.hpp
+++ b/src/proxy/drain_state_storage.hpp
@@ -1,7 +1,7 @@
-// Keeps administrative drains in a file in the temporary folder that a process shares with its successor in
-// an upgrade.
+// Stores administrative drains in a file in the temporary folder, which a process shares with its successor
+// in an upgrade.
 //
-// A file that can't be read, or is not ours, is logged and ignored; one that can't be written is logged.
+// A file that cannot be read or has another format is logged and ignored; failures to write are logged.
 #ifndef DAPPLETILLER_PROXY_DRAIN_STATE_STORAGE_HPP_
 #define DAPPLETILLER_PROXY_DRAIN_STATE_STORAGE_HPP_
 
@@ -18,9 +18,9 @@
   // `proxy_name` names the file. `log` must outlive it.
   DrainStateStorage(Log& log, const std::string& proxy_name);
 
-  // As a predecessor left them; nothing if there is none.
+  // Loads the drains of a predecessor; nothing if there is no valid file.
   std::optional<drain::AdministrativeDrains> Load() const;
-  // Replaces the file as a whole.
+  // Replaces the file atomically.
   void Save(const drain::AdministrativeDrains& drains) const;
 
  private:
--- a/src/proxy/environment.cpp
+++ b/src/proxy/environment.cpp
@@ -25,8 +25,7 @@
   std::ifstream file(path, std::ios::binary);
   if (!file) throw ConfigError(std::string(path) + " cannot be read");
   std::ostringstream text;
-  // An empty file reads as a failure of the stream. It has a message of its own, since a half-written file is
-  // common.
+  // An empty file sets the stream's failbit. It has its own message, since files are often only half written.
   if (!(text << file.rdbuf()) || text.str().empty()) throw ConfigError(std::string(path) + " is empty");
   try {
     return ParseConfig(text.str());
--- a/src/proxy/environment.hpp
+++ b/src/proxy/environment.hpp
@@ -1,5 +1,5 @@
-// What the platform tells a proxy through its environment: the configuration file, the console's address, an
-// inherited socket. All of these throw ConfigError.
+// Settings from the environment: the configuration file, the console's address, an inherited socket. All
+// functions throw ConfigError.
 #ifndef DAPPLETILLER_PROXY_ENVIRONMENT_HPP_
 #define DAPPLETILLER_PROXY_ENVIRONMENT_HPP_
 
@@ -10,12 +10,11 @@
 
 namespace dappletiller {
 
-// Reads the file that BALANCER_CONFIG names.
+// Reads the file named by BALANCER_CONFIG.
 Config LoadConfig();
-// Where the console listens: BALANCER_CONSOLE goes before the configuration; none on days without a console.
+// The console's address: BALANCER_CONSOLE, or else the configuration; nothing if there is no console.
 std::optional<Endpoint> ConsoleEndpoint(const Config& config);
-// The descriptor in BALANCER_SOCKET_FD: the clients' listening socket that the platform holds for every
-// process.
+// The descriptor in BALANCER_SOCKET_FD: a listening socket that the platform passes to each process.
 std::optional<int> InheritedSocket();
 
 }  // namespace dappletiller
--- a/src/proxy/graceful_shutdown.hpp
+++ b/src/proxy/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
-// A proxy's way out after SIGTERM: requests that have come are answered, new ones for a while still, then it
-// ends; in any case before the platform ends the process.
+// Graceful shutdown after SIGTERM: answers received requests, accepts new ones for a short time, and then
+// stops, in any case before the platform kills the process.
 #ifndef DAPPLETILLER_PROXY_GRACEFUL_SHUTDOWN_HPP_
 #define DAPPLETILLER_PROXY_GRACEFUL_SHUTDOWN_HPP_
 
@@ -13,7 +13,8 @@
   explicit GracefulShutdown(ProxyComponents& components) : components_(components), timer_(components.loop) {}
 
   bool has_begun() const { return has_begun_; }
-  // Stops the event loop when all is answered, or out of time. To be called once.
+  // Begins the shutdown; stops the event loop when all requests are answered or the time is over. To be
+  // called once.
   void Begin();
 
  private:
@@ -23,7 +24,7 @@
   ProxyComponents& components_;
   Timer timer_;
   bool has_begun_ = false;
-  Micros answer_by_ = 0;  // on the loop's clock
+  Micros answer_by_ = 0;  // on the event loop's clock
 };
 
 }  // namespace dappletiller
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -8,11 +8,10 @@
 namespace {
 
 constexpr std::size_t kOwnDescriptors = 16 + Console::kMaxConnections;
-constexpr std::size_t kReservedDivisor = 8;  // one in so many connections is reserved for clients
-constexpr std::size_t kSlotsDivisor =
-    3;  // one in so many descriptors is the most that clients hold for requests
-// One in so many bytes of the process's memory is the most that long bodies take; a buffer that grows may be
-// up to twice as large as what it holds.
+constexpr std::size_t kReservedDivisor = 8;  // one in this many connections is reserved for clients
+constexpr std::size_t kSlotsDivisor = 3;     // clients may use one in this many descriptors for requests
+// Long bodies may use one in this many bytes of the process's memory. A growing buffer may be up to twice as
+// large as its contents.
 constexpr std::size_t kLongBodiesDivisor = 8;
 
 }  // namespace
