--- a/src/proxy/options.hpp
+++ b/src/proxy/options.hpp
@@ -1,4 +1,4 @@
-// How a proxy's resources are split between its parts, and what each part is told of the configuration.
+// Divides a proxy's resources between its parts, and derives their options from the configuration.
 #ifndef DAPPLETILLER_PROXY_OPTIONS_HPP_
 #define DAPPLETILLER_PROXY_OPTIONS_HPP_
 
@@ -13,15 +13,14 @@
 
 namespace dappletiller {
 
-// Connections that clients and upstream servers may hold together: the process's descriptors less those that
-// it keeps for listeners, discovery, epoll, signals, standard streams, a file while it is read, and the
-// console's callers.
+// Maximum number of downstream and upstream connections: the process's descriptors less those reserved for
+// listeners, discovery, epoll, signals, standard streams, a file being read, and console connections.
 std::size_t ConnectionLimit(const Config& config);
-// Of those, how many only clients may hold.
+// Number of these that are reserved for clients.
 std::size_t ReservedForClients(const Config& config);
-// Connections that clients may hold for requests.
+// Number of slots for client connections with requests.
 std::size_t ClientConnectionSlots(const Config& config);
-// Bytes that long bodies may take together beyond the usual size.
+// Memory for long bodies beyond the usual size, in bytes.
 std::size_t LongBodyMemory(const Config& config);
 
 ListenerOptions MakeListenerOptions(const Config& config, std::shared_ptr<BodyMemory> long_bodies);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -38,7 +38,7 @@
     }
     StartMembership();
     if (components_.feed) components_.feed->client.Start();
-    log.Important("started as %s on port %u with %zu workers known", components_.config.name.c_str(),
+    log.Important("started as %s on port %u with %zu servers known", components_.config.name.c_str(),
                   components_.listener.port(), components_.config.known.entries.size());
     components_.loop.Run();
     log.Important("stopped");
--- a/src/proxy/reload.cpp
+++ b/src/proxy/reload.cpp
@@ -21,7 +21,7 @@
     files.config = LoadConfig();
     if (!components.operator_path.empty())
       files.operator_file = operators::LoadOperatorFile(components.operator_path);
-  } catch (const std::exception& error) {  // a bad file must not end a proxy that serves
+  } catch (const std::exception& error) {  // an invalid file must not end the process
     components.log.Important("reload: the old configuration stays: %s", error.what());
     return std::nullopt;
   }
@@ -43,13 +43,12 @@
   components->upstream.SetLimits(MakeUpstreamLimits(config));
   if (discovery_moves) components->discovery.MoveTo(config.discovery, config.discovery_text);
   if (settings_changed) ReloadClasses(config, components);
-  components->log.Important(
-      "reload: done, discovery %s %s%s", discovery_moves ? "moves to" : "stays at",
-      config.discovery_text.c_str(),
-      needs_restart ? "; classes are taken, the rest of what changed needs a restart" : "");
+  components->log.Important("reload: done, discovery %s %s%s", discovery_moves ? "moves to" : "stays at",
+                            config.discovery_text.c_str(),
+                            needs_restart ? "; classes are updated, other changes need a restart" : "");
 }
 
-// Another scope or other servers; what is in force stays until the new scope is here whole.
+// Changes the scope or the servers. The current settings stay in force until the new scope is complete.
 void ReloadFeed(const operators::SettingsFeedOptions& options, ProxyComponents* components) {
   const Micros now = components->loop.Now();
   components->feed->follower.SetServers(now, options.nearby, options.others);
@@ -64,7 +63,7 @@
   if (components->membership && file.fleet) complete = components->membership->Reload(std::move(*file.fleet));
   if (components->feed && file.settings_feed) ReloadFeed(*file.settings_feed, components);
   if (components->feed.has_value() != file.settings_feed.has_value()) {
-    log.Info("reload: [settings_feed] needs a restart to come or go");
+    log.Info("reload: [settings_feed] was added or removed; restart to apply this");
   }
   log.Important("reload: %s read%s", components->operator_path.c_str(),
                 complete ? "" : "; the fleet's name, addresses and parts need a restart to change");
--- a/src/proxy/settings_applier.cpp
+++ b/src/proxy/settings_applier.cpp
@@ -70,7 +70,7 @@
 }
 
 void SettingsApplier::LogUnreadable(const config_feed::EffectiveEntry& entry, const std::string& why) {
-  log_.Info("settings feed: %s %s: %s; it keeps what it had", entry.kind.c_str(), entry.name.c_str(),
+  log_.Info("settings feed: %s %s: %s; keeping its previous value", entry.kind.c_str(), entry.name.c_str(),
             why.c_str());
 }
 
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -96,7 +96,7 @@
   void OnResponse(PayloadRef) override { Count(&hollow.world_.served); }
   void OnRejected(Micros) override { Count(&hollow.world_.refused); }
   void OnFailed() override { Count(&hollow.world_.failed); }
-  bool ClientHasLeft() const override { return false; }
+  bool ClientHasDisconnected() const override { return false; }
   void Count(std::uint64_t* what) {
     if (std::exchange(answered, true)) {
       ++hollow.world_.twice;
--- a/src/rig/measure.cpp
+++ b/src/rig/measure.cpp
@@ -60,7 +60,7 @@
   void OnResponse(PayloadRef) override {}
   void OnRejected(Micros) override {}
   void OnFailed() override {}
-  bool ClientHasLeft() const override { return false; }
+  bool ClientHasDisconnected() const override { return false; }
 };
 
 ScaleScript Small(int tenants) {
--- a/src/rig/scale_script.cpp
+++ b/src/rig/scale_script.cpp
@@ -84,7 +84,7 @@
        << static_cast<double>(event.at) / 1e6 << " s";
   if (event.span > 0) text << " for " << static_cast<double>(event.span) / 1e6 << " s";
   event.text = text.str();
-  section.RefuseOthers();
+  section.RejectUnknownKeys();
   return event;
 }
 
@@ -159,7 +159,7 @@
     script.failures = c.Number("failures", script.failures, 0, kLargest);
     script.replaced = c.Number("replaced", script.replaced, 0, kLargest);
     script.settings = c.Number("settings", script.settings, 0, kLargest);
-    c.RefuseOthers();
+    c.RejectUnknownKeys();
   }
   if (const toml::array* events = top.Array("event")) {
     for (const toml::node& entry : *events) {
@@ -184,10 +184,10 @@
       }
       if (!sizes.empty()) script.sweeps.push_back({key, sizes});
     }
-    w.RefuseOthers();
+    w.RejectUnknownKeys();
   }
-  s.RefuseOthers();
-  top.RefuseOthers();
+  s.RejectUnknownKeys();
+  top.RejectUnknownKeys();
   return script;
 }
 
--- a/src/rig/script.cpp
+++ b/src/rig/script.cpp
@@ -107,7 +107,7 @@
   text << "at " << static_cast<double>(fault.at) / 1e6 << " s";
   if (fault.span > 0) text << " for " << static_cast<double>(fault.span) / 1e6 << " s";
   fault.text = text.str();
-  section.RefuseOthers();
+  section.RejectUnknownKeys();
   return fault;
 }
 
@@ -122,7 +122,7 @@
   expect.text = section.Text("text");
   expect.who = section.Words("who");
   expect.by = section.Words("by");
-  section.RefuseOthers();
+  section.RejectUnknownKeys();
   return expect;
 }
 
@@ -157,7 +157,7 @@
     lines << *more;
     script.operator_text = lines.str();
   }
-  f.RefuseOthers();
+  f.RejectUnknownKeys();
   for (const char* list : {"fault", "expect"}) {
     const toml::array* array = top.Array(list);
     if (array == nullptr) continue;
@@ -171,7 +171,7 @@
       }
     }
   }
-  top.RefuseOthers();
+  top.RejectUnknownKeys();
   return script;
 }
 
--- a/src/simulator_adapter/wire_codec.cpp
+++ b/src/simulator_adapter/wire_codec.cpp
@@ -21,7 +21,7 @@
   kProbeResult = 20,
   kStreamStarted = 21,
   kTimerFired = 22,
-  kClientLeft = 23,
+  kClientDisconnected = 23,
   kSelectInstance = 24,
   kInstanceStopped = 25,
   kAttemptEnded = 26
@@ -207,7 +207,7 @@
       return DecodeAttemptEnded(in);
     case kStreamStarted:
       return DecodeStreamStarted(in);
-    case kClientLeft:
+    case kClientDisconnected:
       return Event{ClientDisconnected{in.Get<std::uint64_t>("ticket")}};
     case kTimerFired:
       in.Get<std::uint64_t>("ctx");
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operators' file: what is read, and that each mistake is told with file, line, key and remedy.
+// The operator file: parsing, and errors with file, line, key and remedy.
 #include "config/operator_file.hpp"
 
 #include <doctest/doctest.h>
@@ -32,7 +32,7 @@
 
 const std::string kFine = "[fleet]\nname = \"f\"\nbind = \"127.0.0.1:0\"\n";
 
-TEST_CASE("defaults, and all that can be said") {
+TEST_CASE("defaults and all settings") {
   OperatorFile file = Parse("");
   CHECK_FALSE(file.fleet.has_value());
   CHECK_FALSE(file.log_json);
@@ -52,7 +52,7 @@
   CHECK((file.fleet->lease_duration == std::chrono::seconds(2)));
 }
 
-TEST_CASE("the settings feed, and a control machine of it") {
+TEST_CASE("the configuration feed and a config server") {
   CHECK_FALSE(Parse(kFine).settings_feed.has_value());
   OperatorFile file = Parse(
       "[settings_feed]\nmachines = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nothers = \"127.0.0.1:3\"\n"
@@ -71,7 +71,7 @@
   CHECK(file.control->snapshot_slots == 3);
 }
 
-TEST_CASE("each mistake names file, line, key and remedy") {
+TEST_CASE("each error states file, line, key and remedy") {
   struct Row {
     std::string text;
     const char* says;
@@ -129,7 +129,7 @@
   }
 }
 
-TEST_CASE("a script's mistakes are told the same way, and names are selected by range") {
+TEST_CASE("errors in test scripts are reported the same way, and names are selected by range") {
   auto error = [](const std::string& text) -> std::string {
     try {
       rig::ParseScript(text, "s.toml");
--- a/tests/config_feed/change_cost.cpp
+++ b/tests/config_feed/change_cost.cpp
@@ -1,5 +1,5 @@
-// What one change costs a proxy: of the settings as a whole file, and of the list. Google Benchmark; figures
-// for docs/data, no verdicts. Run with --benchmark_format=json.
+// Cost of a single change for a proxy: of the settings as a file, and of the endpoint list. Google Benchmark,
+// for the figures in docs/data; checks nothing. Run with --benchmark_format=json.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -19,7 +19,7 @@
 namespace dappletiller {
 namespace {
 
-// Tenants as a site's file names them: about 75 bytes each.
+// Tenants as in a settings file: about 75 bytes each.
 std::string ConfigText(int tenants) {
   std::string text =
       R"({"name":"p","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"sockets":256},)"
@@ -37,13 +37,13 @@
   return text + "]}}";
 }
 
-// What the heap holds now. Resident memory would tell of earlier rounds in the same process too.
+// Allocated heap memory. Resident memory would include earlier rounds in the same process.
 double HeapMegabytes() {
   struct mallinfo2 info = ::mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd) / 1e6;
 }
 
-// Reading the whole file, flattening it, and a module made with it: what a reload does.
+// Reads and flattens the whole file and creates a module with it, as a reload does.
 void WholeSettings(benchmark::State& state) {
   std::string text = ConfigText(static_cast<int>(state.range(0)));
   double before = HeapMegabytes(), after = 0;
@@ -69,7 +69,7 @@
     ->Arg(180'000)
     ->Unit(benchmark::kMillisecond);
 
-// One changed entry of the list, in the module.
+// One changed entry of the endpoint list, in the module.
 void ListChange(benchmark::State& state) {
   balancer::Settings settings;
   settings.proxies = 1'900;
@@ -102,7 +102,7 @@
 }
 BENCHMARK(ListChange)->Arg(120)->Arg(1'200)->Arg(17'000)->Unit(benchmark::kMicrosecond);
 
-// The whole list as discovery gives it: reading it, and its size.
+// Reads a snapshot of the endpoint list; reports its size.
 void WholeList(benchmark::State& state) {
   std::string text = R"({"rev":1,"all":true,"targets":[)";
   for (int i = 0; i < state.range(0); ++i) {
@@ -124,7 +124,7 @@
 }
 BENCHMARK(WholeList)->Arg(120)->Arg(1'200)->Arg(17'000)->Unit(benchmark::kMillisecond);
 
-// ---- The same change by the settings feed ----
+// ---- The same change through the configuration feed ----
 
 constexpr int kServices = 510;
 
@@ -141,8 +141,8 @@
   store->Publish(1, 7, all);
 }
 
-// One changed tenant in a proxy of one service: from the answer's text to the module. Bytes: question and
-// answer with their heads. `range(1)`: services over which the tenants lie.
+// One changed tenant in a proxy of one service, from the response's text to the module. Bytes: request and
+// response with headers. `range(1)`: number of services of the tenants.
 void FeedChangeInProxy(benchmark::State& state) {
   int tenants = static_cast<int>(state.range(0)), services = static_cast<int>(state.range(1));
   config_feed::Store origin;
@@ -202,7 +202,7 @@
     ->ArgsProduct({{100, 1'000, 10'000, 65'536, 180'000}, {1, kServices}})
     ->Unit(benchmark::kMicrosecond);
 
-// One changed tenant at a control machine: publishing it and telling one proxy.
+// One changed tenant at a config server: publishing it and answering one proxy.
 void FeedChangeAtMachine(benchmark::State& state) {
   double before = HeapMegabytes();
   config_feed::Store store;
@@ -226,7 +226,7 @@
     ->Arg(180'000)
     ->Unit(benchmark::kMicrosecond);
 
-// The origin reads its file with one changed line: the one part that grows with the file, on one machine.
+// The origin reads its file with one changed line: the only cost that grows with the file.
 void OriginFileChange(benchmark::State& state) {
   auto text = [&](int serial) {
     std::string all = "{\"serial\": " + std::to_string(serial) + "}\n";
--- a/tests/config_feed/process_test.cpp
+++ b/tests/config_feed/process_test.cpp
@@ -1,5 +1,5 @@
-// The settings feed on real processes and sockets: control machines and proxies of the program itself, on
-// ports of the kernel's choice. Every wait is bounded and on a condition.
+// The configuration feed with real processes and sockets: config servers and proxies on ephemeral ports.
+// Every wait is bounded and for a condition.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -28,13 +28,13 @@
 namespace {
 
 namespace fs = std::filesystem;
-constexpr int kBoundSeconds = 60;  // far more than any wait should take, on the busiest machine
+constexpr int kBoundSeconds = 60;  // far longer than any wait should take, even on a busy machine
 
 bool Until(const std::function<bool()>& holds) {
   auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kBoundSeconds);
   while (std::chrono::steady_clock::now() < end) {
     if (holds()) return true;
-    std::this_thread::sleep_for(std::chrono::milliseconds(10));  // between two looks
+    std::this_thread::sleep_for(std::chrono::milliseconds(10));  // between two checks
   }
   return holds();
 }
@@ -47,7 +47,7 @@
   }
   ~Folder() { fs::remove_all(path); }
   std::string Write(const std::string& name, const std::string& text) const {
-    // As an operator's tool does it: never half a file under the name.
+    // Replaces the file atomically, as an operator's tool would.
     std::ofstream(path / (name + ".new"), std::ios::binary) << text;
     fs::rename(path / (name + ".new"), path / name);
     return (path / name).string();
@@ -88,7 +88,7 @@
   bool Says(const std::string& text) const {
     return Until([&] { return Log().find(text) != std::string::npos; });
   }
-  // The number behind `text` in the log.
+  // The number that follows `text` in the log.
   int NumberAfter(const std::string& text) const {
     if (!Says(text)) return 0;
     std::string log = Log();
@@ -127,8 +127,8 @@
   return answer;
 }
 
-// A port that is free now. Between this and its use another process may take it: the tests' own machines then
-// say that they can't start, and the test fails as that.
+// A port that is free now. Another process may take it before it is used; the program then fails to start,
+// and the test fails.
 int FreePort() { return BindTcpListener({INADDR_LOOPBACK, 0}, 1, "test").port; }
 
 std::string At(int port) { return "127.0.0.1:" + std::to_string(port); }
@@ -144,7 +144,7 @@
     R"({"kind":"class","service":"*","name":"fresh","value":{"giveUp":200000,"effect":"free"}})"
     "\n";
 
-// Three control machines, the first the origin, and proxies that follow them.
+// Three config servers, the first of which is the origin, and proxies that follow them.
 struct Fleet {
   explicit Fleet(int proxies) {
     for (int& port : ports) port = FreePort();
@@ -160,9 +160,9 @@
                        "\"\nothers = [" + others + "]\n";
     if (!origin.empty()) text += "origin = \"" + origin + "\"\n";
     std::string name = "c" + std::to_string(m) + "." + std::to_string(++starts);
-    machines[m] = std::make_unique<Process>(
+    servers[m] = std::make_unique<Process>(
         folder, name, std::vector<std::string>{"control", "--operator", folder.Write(name + ".toml", text)});
-    REQUIRE(machines[m]->Says("control on port"));
+    REQUIRE(servers[m]->Says("control on port"));
   }
   std::string ProxyFile(int p, const std::string& services) {
     std::string all;
@@ -200,25 +200,25 @@
   Folder folder;
   int ports[3] = {};
   int starts = 0;
-  std::unique_ptr<Process> machines[3];
+  std::unique_ptr<Process> servers[3];
   std::vector<std::unique_ptr<Process>> proxies;
 };
 
-TEST_CASE("a change of the origin's file is in force in running proxies, by scope, without a restart") {
+TEST_CASE("a change of the origin's file takes effect in running proxies within scope, without a restart") {
   Fleet fleet(2);
   REQUIRE(fleet.AllHold(1));
-  CHECK(fleet.Status(0).find("\"entries\":1,") != std::string::npos);  // plan-8's is not taken
+  CHECK(fleet.Status(0).find("\"entries\":1,") != std::string::npos);  // the entry of plan-8 is out of scope
   int port = fleet.proxies[0]->NumberAfter("started as p0 on port ");
   std::string request =
       "GET / HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\nRequest-Class: fresh\r\nRequest-Timeout: 100m\r\n"
       "Connection: close\r\n\r\n";
-  CHECK(Get(port, request).find("400") != std::string::npos);  // no such class yet
+  CHECK(Get(port, request).find("400") != std::string::npos);  // the class does not exist yet
   fleet.folder.Write("origin.jsonl", OriginFile(2, "2", kFresh));
   REQUIRE(fleet.AllHold(2));
-  CHECK(Get(port, request).find(" 503 ") != std::string::npos);  // known; there is no worker
+  CHECK(Get(port, request).find(" 503 ") != std::string::npos);  // known, but there is no server
   CHECK(fleet.proxies[0]->Says("settings feed: serial 2 in force"));
   CHECK(fleet.proxies[0]->Says("class fresh is new"));
-  // Nothing outside its scope reaches a proxy, and its serial still goes on.
+  // A proxy receives nothing outside its scope, but its serial advances.
   fleet.folder.Write("origin.jsonl", "{\"serial\": 3}\n" + OriginFile(0, "2", kFresh).substr(14) +
                                          R"({"kind":"route","service":"plan-8","name":"/x","value":{}})"
                                          "\n");
@@ -226,41 +226,42 @@
   CHECK(fleet.Status(0).find("\"entries\":2,") != std::string::npos);
 }
 
-TEST_CASE("a bad origin file is told by file, line and remedy, and what was in force stays") {
+TEST_CASE("an invalid origin file is reported with file, line and remedy, and the settings stay in force") {
   Fleet fleet(1);
   REQUIRE(fleet.AllHold(1));
   fleet.folder.Write("origin.jsonl", OriginFile(2, "-5"));
-  CHECK(fleet.machines[0]->Says(
+  CHECK(fleet.servers[0]->Says(
       "origin.jsonl:2: tenant/plan-7/acme: value.quotaRps is missing or out of range"));
   fleet.folder.Write("origin.jsonl", OriginFile(1, "7"));
-  CHECK(fleet.machines[0]->Says("serial: 1 is not above 1"));
+  CHECK(fleet.servers[0]->Says("serial: 1 is not above 1"));
   fleet.folder.Write("origin.jsonl", OriginFile(3, "7").substr(0, 60));
-  CHECK(fleet.machines[0]->Says("does not end in a newline"));
+  CHECK(fleet.servers[0]->Says("does not end in a newline"));
   fs::remove(fleet.folder.path / "origin.jsonl");
-  CHECK(fleet.machines[0]->Says("cannot be read"));
+  CHECK(fleet.servers[0]->Says("cannot be read"));
   CHECK(fleet.Status(0).find("\"serial\":1,") != std::string::npos);
   fleet.folder.Write("origin.jsonl", OriginFile(4, "7"));
   CHECK(fleet.AllHold(4));
 }
 
-TEST_CASE("control machines lost one by one and all at once, and back: nothing is lost, nobody goes back") {
+TEST_CASE(
+    "config servers fail one by one and all at once, and return: nothing is lost and no follower goes back") {
   Fleet fleet(3);
   REQUIRE(fleet.AllHold(1));
-  fleet.machines[1]->End(SIGKILL);
+  fleet.servers[1]->End(SIGKILL);
   fleet.folder.Write("origin.jsonl", OriginFile(2, "2"));
   REQUIRE(fleet.AllHold(2));
-  fleet.machines[2]->Signal(SIGSTOP);  // takes connections and says nothing
+  fleet.servers[2]->Signal(SIGSTOP);  // accepts connections but does not respond
   fleet.folder.Write("origin.jsonl", OriginFile(3, "3"));
   REQUIRE(fleet.AllHold(3));
-  fleet.machines[0]->End(SIGKILL);
+  fleet.servers[0]->End(SIGKILL);
   for (int p = 0; p < 3; ++p) {
     REQUIRE(fleet.Holds(p, "\"current\":false"));
     CHECK(fleet.Status(p).find("\"serial\":3,") != std::string::npos);
     CHECK(fleet.proxies[static_cast<std::size_t>(p)]->Says(
         "no control machine answers; serial 3 stays in force"));
   }
-  // The one that stood still is there again, with what it had: it is behind, and takes nobody back.
-  fleet.machines[2]->Signal(SIGCONT);
+  // The stopped server resumes with its old state: it is behind, and no follower goes back to it.
+  fleet.servers[2]->Signal(SIGCONT);
   CHECK(Until([&] {
     return fleet.proxies[0]->Log().find(At(fleet.ports[2]) + " is behind serial 3") != std::string::npos ||
            fleet.Status(0).find("\"current\":true") != std::string::npos;
@@ -277,24 +278,23 @@
       CHECK(log.rfind(older) < log.find("serial 3 in force"));
     CHECK(proxy->End(SIGTERM) == 0);
   }
-  CHECK(fleet.machines[0]->End(SIGTERM) == 0);
+  CHECK(fleet.servers[0]->End(SIGTERM) == 0);
 }
 
-TEST_CASE("a stale origin that comes back follows, and says which file is old") {
+TEST_CASE("a stale origin that comes back follows and reports the old file") {
   Fleet fleet(1);
   REQUIRE(fleet.AllHold(1));
   fleet.folder.Write("origin.jsonl", OriginFile(5, "5"));
   REQUIRE(fleet.AllHold(5));
-  // A serial that only the lost origin and the proxies knew is another case (world_test: an old origin
-  // alone).
-  for (int m : {1, 2}) REQUIRE(fleet.machines[m]->Says("serial 5 in force"));
-  fleet.machines[0]->End(SIGKILL);
+  // A serial known only to the lost origin and the proxies is covered by world_test.
+  for (int m : {1, 2}) REQUIRE(fleet.servers[m]->Says("serial 5 in force"));
+  fleet.servers[0]->End(SIGKILL);
   fleet.folder.Write("old.jsonl", OriginFile(2, "2"));
   fleet.StartMachine(0, "old.jsonl");
-  CHECK(fleet.machines[0]->Says("serial 2 is below the fleet's, 5: this machine follows"));
-  CHECK(fleet.machines[0]->Says("serial 5 in force"));
-  // Another machine takes the origin over, by deltas.
-  fleet.machines[1]->End(SIGTERM);
+  CHECK(fleet.servers[0]->Says("serial 2 is below the fleet's, 5: this machine follows"));
+  CHECK(fleet.servers[0]->Says("serial 5 in force"));
+  // Another server becomes the origin and continues with deltas.
+  fleet.servers[1]->End(SIGTERM);
   fleet.folder.Write("new.jsonl", OriginFile(6, "6"));
   fleet.StartMachine(1, "new.jsonl");
   CHECK(fleet.AllHold(6));
@@ -313,7 +313,7 @@
   fleet.ProxyFile(0, "[\"plan-9\"]");
   fleet.proxies[0]->Signal(SIGHUP);
   CHECK(fleet.Holds(0, "\"entries\":0,"));
-  // A bad file changes nothing.
+  // An invalid file changes nothing.
   fleet.folder.Write("p0.toml", "[settings_feed]\nmachines = [\"nowhere\"]\n");
   fleet.proxies[0]->Signal(SIGHUP);
   CHECK(fleet.proxies[0]->Says("settings_feed.machines: 'nowhere' is not an address"));
@@ -321,7 +321,7 @@
   CHECK(fleet.AllHold(3));
 }
 
-// ---- The driver against a machine that a test plays by hand ----
+// ---- The client with a server controlled by the test ----
 
 struct Sink final : SettingsObserver {
   void OnSettingsChanged(const std::vector<config_feed::Change>& changes) override {
@@ -337,7 +337,7 @@
     fd_ = std::move(bound.fd);
     port = bound.port;
   }
-  // Answers the next question with these bytes, and ends the connection if so.
+  // Answers the next request with these bytes, and closes the connection if requested.
   bool Answer(EventLoop& loop, const std::string& bytes, bool end) {
     return Until([&] {
       loop.RunOnce(1'000);
@@ -368,14 +368,14 @@
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-TEST_CASE("a torn, malformed or foreign answer changes nothing, and the next good one does") {
+TEST_CASE("a truncated, malformed or unexpected response changes nothing, and the next valid one does") {
   EventLoop loop;
   Log log(stderr, "test");
   Sink sink;
-  Played machine;
+  Played server;
   config_feed::FollowerOptions options;
   options.self = "p";
-  options.nearby = {At(machine.port)};
+  options.nearby = {At(server.port)};
   options.scope.services = {"a"};
   config_feed::Follower follower(options);
   FeedClient feed(loop, log, follower, "p", sink);
@@ -392,40 +392,40 @@
         Http(config_feed::WritePage(foreign)), std::string("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"),
         std::string()}) {
     CAPTURE(bad);
-    REQUIRE(machine.Answer(loop, bad, true));
+    REQUIRE(server.Answer(loop, bad, true));
     ++failures;
     CHECK(Until([&] { return loop.RunOnce(1'000), feed.counters().failures >= failures; }));
     CHECK(sink.seen.empty());
     CHECK(follower.store().size() == 0);
   }
-  REQUIRE(machine.Answer(loop, good, false));
+  REQUIRE(server.Answer(loop, good, false));
   CHECK(Until([&] { return loop.RunOnce(1'000), sink.seen.size() == 2; }));
   CHECK(follower.store().head().serial == 1);
-  // Busy: it comes back there when it was told, and holds what it has.
-  REQUIRE(machine.Answer(loop, "HTTP/1.1 503 X\r\nRetry-After: 0.060\r\nContent-Length: 0\r\n\r\n", false));
+  // Busy: the client retries at the given time and keeps its state.
+  REQUIRE(server.Answer(loop, "HTTP/1.1 503 X\r\nRetry-After: 0.060\r\nContent-Length: 0\r\n\r\n", false));
   CHECK(Until([&] { return loop.RunOnce(1'000), feed.counters().busy == 1; }));
   store.Publish(2, 7, {{"tenant/a/t", std::nullopt, 0}});
-  REQUIRE(machine.Answer(loop,
-                         Http(config_feed::WritePage(
-                             store.MakePage({follower.store().head(), std::nullopt, {true, {}}}, 1 << 20))),
-                         false));
-  CHECK(machine.question.find("serial=1&epoch=7&after=2") != std::string::npos);
+  REQUIRE(server.Answer(loop,
+                        Http(config_feed::WritePage(
+                            store.MakePage({follower.store().head(), std::nullopt, {true, {}}}, 1 << 20))),
+                        false));
+  CHECK(server.question.find("serial=1&epoch=7&after=2") != std::string::npos);
   CHECK(Until([&] { return loop.RunOnce(1'000), sink.seen.size() == 3; }));
   CHECK(follower.store().size() == 1);
 }
 
-TEST_CASE("the server turns away what is no question, and wakes only those whom a change concerns") {
+TEST_CASE("the server rejects invalid requests and notifies only followers whose scope has changed") {
   EventLoop loop;
   Log log(stderr, "test");
   config_feed::FollowerOptions options;
   options.self = "c";
-  config_feed::ConfigServer machine(options, 1);
-  FeedServer server(loop, log, machine);
+  config_feed::ConfigServer config_server(options, 1);
+  FeedServer server(loop, log, config_server);
   server.Listen({INADDR_LOOPBACK, 0});
   std::set<std::string, std::less<>> touched;
   std::uint64_t serial = 0;
   auto publish = [&](std::vector<config_feed::Change> changes) {
-    machine.Publish(
+    config_server.Publish(
         loop.Now(), ++serial, [&](config_feed::Baseline) { return changes; }, 7, &touched);
     server.NotifyChanged(touched);
   };
@@ -469,7 +469,7 @@
   Client a(server.port()), b(server.port());
   a.Say("/feed?self=a&serial=1&epoch=7&after=2&services=a&wait_ms=60000");
   b.Say("/feed?self=b&serial=1&epoch=7&after=2&services=b&wait_ms=60000");
-  // One that goes while it waits is forgotten.
+  // A follower that disconnects while waiting is forgotten.
   {
     Client gone(server.port());
     gone.Say("/feed?self=g&serial=1&epoch=7&after=2&services=a&wait_ms=60000");
@@ -482,7 +482,7 @@
   CHECK(a.Heard().empty());
   publish({{"tenant/a/t", "2", 0}});
   CHECK(hears(a, "tenant/a/t"));
-  // A whole for one that has a place, none for the next; a delta is told all the while.
+  // A snapshot for a follower with a slot, none for the next one; deltas are still sent.
   Client whole(server.port()), next(server.port());
   std::vector<config_feed::Change> many;
   for (int i = 0; i < 2'000; ++i) many.push_back({"tenant/a/m" + std::to_string(i), "x", 0});
--- a/tests/config_feed/store_test.cpp
+++ b/tests/config_feed/store_test.cpp
@@ -1,4 +1,4 @@
-// The settings feed's store, its text forms and the origin's file: by hand, no socket and no clock.
+// The configuration feed's store, its text formats and the origin's file, without sockets and clocks.
 #include "config_feed/store.hpp"
 
 #include <doctest/doctest.h>
@@ -26,7 +26,7 @@
   return {held.head(), std::nullopt, std::move(scope)};
 }
 
-// Walks on until all is told; the number of pages.
+// Applies pages until the follower is up to date; returns their number.
 int Catch(const Store& from, Store* to, std::size_t page_bytes, const Scope& scope = {true, {}}) {
   for (int pages = 1; pages < 10'000; ++pages) {
     Page page = from.MakePage(After(*to, scope), page_bytes);
@@ -46,7 +46,7 @@
   return same;
 }
 
-TEST_CASE("keys are three words; the name may hold a slash") {
+TEST_CASE("keys have three parts; the name may contain a slash") {
   for (const char* bad : {"", "a", "a/b", "a//c", "/b/c", "a/b/", "a/b/c d", "a/b/\n"}) {
     CAPTURE(bad);
     CHECK_FALSE(ParseKey(bad));
@@ -58,7 +58,7 @@
   CHECK(key->name == "/api/v1");
 }
 
-TEST_CASE("a delta holds what has changed since, each key once, and costs by that") {
+TEST_CASE("a delta contains the changes since a version, each key once, at a proportional cost") {
   Store store;
   store.Publish(1, 7, Tenants(0, 1000, "a", "x"));
   Store follower;
@@ -77,14 +77,14 @@
   follower.Apply(page);
   CHECK(Same(store, follower));
   CHECK(follower.Find("tenant/a/t9") == nullptr);
-  // What is so already costs no version.
+  // Changes without effect get no version.
   std::uint64_t version = store.head().version;
   CHECK(store.Publish(8, 7, Tenants(3, 5, "a", "4")).empty());
   CHECK(store.head().version == version);
   CHECK(store.head().serial == 8);
 }
 
-TEST_CASE("the serial counts only once all of it is here") {
+TEST_CASE("the serial changes only with the last page") {
   Store store, follower;
   store.Publish(1, 7, Tenants(0, 10, "a", "x"));
   follower.Apply(store.MakePage(After(follower), 1 << 20));
@@ -97,7 +97,7 @@
   CHECK(follower.head().serial == 2);
 }
 
-TEST_CASE("a scope takes its services and everybody's, and what leaves nothing behind in others") {
+TEST_CASE("a scope contains its services and entries for all, and entries that leave it are removed") {
   Store store, follower;
   store.Publish(1, 7, Tenants(0, 5, "a", "x"));
   store.Publish(2, 7, Tenants(0, 5, "b", "x"));
@@ -107,21 +107,21 @@
   CHECK(page.changes.size() == 6);
   follower.Apply(page);
   CHECK(follower.head() == store.head());
-  // News outside the scope are no news, and the version goes on with the next answer.
+  // Changes outside the scope are not sent, and the version advances with the next response.
   store.Publish(4, 7, Tenants(0, 1, "a", "y"));
   CHECK_FALSE(store.HasChangesFor(After(follower, scope)));
   page = store.MakePage(After(follower, scope), 1 << 20);
   CHECK(page.changes.empty());
   follower.Apply(page);
   CHECK(follower.head() == store.head());
-  // An entry that moves to another service is removed here.
+  // An entry that moves to a service outside the scope is removed.
   store.Publish(5, 7, {{"tenant/b/t1", std::nullopt, 0}, {"tenant/a/t1", "x", 0}});
   CHECK(store.HasChangesFor(After(follower, scope)));
   Catch(store, &follower, 1 << 20, scope);
   CHECK(follower.Find("tenant/b/t1") == nullptr);
 }
 
-TEST_CASE("who follows from before what is forgotten, or from another line, is given the whole") {
+TEST_CASE("a follower that is behind the forgotten removals, or in another epoch, gets a snapshot") {
   Store store(10), follower;
   store.Publish(1, 7, Tenants(0, 100, "a", "x"));
   follower.Apply(store.MakePage(After(follower), 1 << 20));
@@ -134,7 +134,7 @@
   Store other;
   other.Publish(3, 99, Tenants(0, 5, "a", "x"));
   CHECK(other.MakePage(After(follower), 1 << 20).is_snapshot);
-  // A newer line that goes on from this one tells a delta, unless the follower had gone further.
+  // A newer epoch that continues this one sends a delta, unless the follower is further ahead.
   Store heir;
   Page page = store.MakePage(After(heir), 1 << 20);
   heir.Apply(page);
@@ -145,11 +145,12 @@
   page = heir.MakePage(After(late), 1 << 20);
   CHECK_FALSE(page.is_snapshot);
   CHECK(page.changes.size() == 1);
-  ahead.Publish(3, 7, Tenants(70, 80, "a", "w"));  // what the old origin said after the heir went its own way
+  ahead.Publish(3, 7,
+                Tenants(70, 80, "a", "w"));  // published by the old origin after the new one had diverged
   CHECK(heir.MakePage(After(ahead), 1 << 20).is_snapshot);
 }
 
-TEST_CASE("a machine that is behind says so, and never takes a follower back") {
+TEST_CASE("a server that is behind reports it and never moves a follower back") {
   Store old, now;
   old.Publish(5, 7, Tenants(0, 5, "a", "x"));
   now.Apply(old.MakePage(After(now), 1 << 20));
@@ -160,21 +161,21 @@
   Store empty;
   CHECK(empty.IsBehind(After(old)));
   CHECK(empty.IsBehind(After(Store())));
-  // The same serial in two lines: the later line counts, on both sides.
+  // The same serial in two epochs: the later epoch counts on both sides.
   Store other;
   other.Publish(6, 8, Tenants(0, 5, "a", "q"));
   CHECK(now.IsBehind(After(other)));
   CHECK_FALSE(other.IsBehind(After(now)));
 }
 
-// Half of the entries are replaced, removed and renewed while the whole is being told page by page.
-TEST_CASE("a walk of the whole ends with just what is there, whatever changes meanwhile") {
+// Half of the entries are replaced, removed or added again while the snapshot is sent page by page.
+TEST_CASE("a snapshot ends with the current entries, whatever changes meanwhile") {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
     std::mt19937 random(seed);
     Store store(seed % 2 == 0 ? 20 : 100'000);
     store.Publish(1, 7, Tenants(0, 400, "a", "x"));
-    // Forgotten before the walk began: no reason to begin anew.
+    // Forgotten before the snapshot began: no reason to restart it.
     std::vector<Change> early;
     for (int i = 350; i < 400; ++i) early.push_back({"tenant/a/t" + std::to_string(i), std::nullopt, 0});
     store.Publish(2, 7, early);
@@ -203,18 +204,18 @@
   }
 }
 
-TEST_CASE("a walk doesn't go on at a machine that stands before where it began") {
+TEST_CASE("a snapshot does not continue at a server that is behind its beginning") {
   Store far, near;
   far.Publish(1, 7, Tenants(0, 100, "a", "x"));
   near.Apply(far.MakePage(After(near), 1 << 20));
-  far.Publish(2, 7, Tenants(0, 50, "a", "y"));  // t0 to t49 are now beyond what `near` holds
+  far.Publish(2, 7, Tenants(0, 50, "a", "y"));  // `near` does not have the new versions of t0 to t49
   Page page = far.MakePage({{}, std::nullopt, {true, {}}}, 500);
   REQUIRE_FALSE(page.is_last());
   CHECK(near.IsBehind({{0, 7, page.up_to}, page.head.version, {true, {}}}));
   CHECK_FALSE(near.IsBehind({{0, 7, page.up_to}, 100, {true, {}}}));
 }
 
-TEST_CASE("questions and pages come through their text, and nothing torn does") {
+TEST_CASE("requests and pages survive encoding and decoding, and truncated texts are rejected") {
   FeedRequest asked{"proxy-1", {{12, 1'764'600'000'000'000, 340}, 350, {false, {"plan-1", "plan-7"}}}, 2000};
   auto read = ParseRequest(WriteRequest(asked));
   REQUIRE(read);
@@ -260,12 +261,12 @@
   }
 }
 
-TEST_CASE("the largest page fits an HTTP answer of the codec") {
+TEST_CASE("the largest page fits an HTTP response of the codec") {
   Store store;
   std::vector<Change> changes;
   for (int i = 0; i < 300; ++i) {
     std::string value = "\"";
-    while (value.size() < kMaxValueSize - 3) value += "\\\"";  // the most that quoting can add
+    while (value.size() < kMaxValueSize - 3) value += "\\\"";  // the worst case of JSON escaping
     changes.push_back({"route/a/" + std::to_string(i), value + "\"", 0});
   }
   store.Publish(1, 7, changes);
@@ -283,7 +284,7 @@
          std::to_string(quota) + "}}";
 }
 
-TEST_CASE("the origin's file: only what differs, and a bad one changes nothing") {
+TEST_CASE("the origin's file: only differences are returned, and an invalid file changes nothing") {
   OriginFile origin("o.jsonl");
   auto first = origin.Read(OriginText(1, {Tenant("x", 1), Tenant("y", 2), "", Tenant("z", 3)}));
   CHECK(first.serial == 1);
@@ -337,7 +338,7 @@
     CHECK(said.find(row.says) != std::string::npos);
     CHECK(origin.serial() == 2);
   }
-  // Nothing of the bad ones has stayed.
+  // Nothing of the invalid texts has been applied.
   Store store;
   store.Publish(2, 7, origin.DifferencesTo(store));
   CHECK(store.size() == 3);
@@ -345,7 +346,7 @@
   CHECK(origin.Read(OriginText(3, {Tenant("x", 9), Tenant("y", 2), Tenant("w", 4)})).changes.empty());
 }
 
-TEST_CASE("a name that several services say is settled the same way everywhere") {
+TEST_CASE("a name defined by several services is resolved the same way everywhere") {
   Store store;
   store.Publish(1, 7, {{"tenant/*/t", "all", 0}, {"tenant/b/t", "b", 0}, {"tenant/c/t", "c", 0}});
   Scope scope{false, {"b", "c"}};
@@ -365,7 +366,7 @@
   CHECK(value(scope) == "none");
 }
 
-TEST_CASE("so many wholes at once, and a place of one who fell silent comes back") {
+TEST_CASE("snapshots are limited, and the slot of a silent follower is released") {
   SnapshotAdmission admission(2);
   CHECK(admission.Admit("a", 0) == 0);
   CHECK(admission.Admit("b", 0) == 0);
@@ -377,10 +378,11 @@
   CHECK(later > first);
   CHECK(later <= SnapshotAdmission::kMaxRetryAfter);
   admission.Release("a", 40);
-  CHECK(admission.Admit("new", 50) > 0);  // a place is free, but others are before it
+  CHECK(admission.Admit("new", 50) > 0);  // a slot is free, but others have earlier turns
   CHECK(admission.Admit("c", 20 + first) == 0);
   CHECK(admission.Admit("x0", 20 + first) > 0);
-  CHECK(admission.Admit("x0", SnapshotAdmission::kSlotTimeout) == 0);  // "b" has not asked for a page since
+  CHECK(admission.Admit("x0", SnapshotAdmission::kSlotTimeout) ==
+        0);  // "b" has not requested a page since then
   CHECK(admission.max_slots_in_use() == 2);
 }
 
--- a/tests/config_feed/world_test.cpp
+++ b/tests/config_feed/world_test.cpp
@@ -1,5 +1,5 @@
-// The settings feed in simulated time: the same Follower and ConfigServer as in the processes, 8 machines
-// and up to 1,900 proxies, delays and failures from a seed. Nothing here is timed by a clock.
+// The configuration feed in simulated time: the Follower and ConfigServer of the program, 8 config servers
+// and up to 1,900 proxies, with delays and failures drawn from a seed.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -18,32 +18,32 @@
 
 constexpr Micros kMs = 1'000;
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kAim = 12 * kSecond;  // in force everywhere
+constexpr Micros kObjective = 12 * kSecond;  // objective for a change to be in force everywhere
 
 class World {
  public:
   struct Machine {
-    std::unique_ptr<ConfigServer> control;  // none: its process is not there
-    bool silent = false;                    // takes what comes and says nothing
+    std::unique_ptr<ConfigServer> control;  // null: the process is not running
+    bool silent = false;                    // receives requests but does not respond
     int region = 0;
-    int life = 0;  // questions to an earlier process are lost with it
+    int incarnation = 0;  // requests to an earlier process are lost
     Micros busy_until = 0;
-    std::size_t wholes = 0;  // pages of wholes told
+    std::size_t snapshot_pages = 0;  // number of snapshot pages sent
     struct Waiting {
       int node;
       std::uint64_t number;
       PageRequest question;
       std::string who;
-      Micros until;  // the wait at the machine
+      Micros until;  // end of the wait at the server
     };
     std::map<std::uint64_t, Waiting> waiting;
   };
-  struct Node {  // a proxy, or a machine in its part as one that follows
+  struct Node {  // a proxy, or a config server as a follower
     std::unique_ptr<Follower> own;
     int machine = -1;
     int region = 0;
-    std::uint64_t number = 0;                     // of the question that is out
-    std::map<std::string, std::string> in_force;  // as a proxy goes by it, from what Answered tells
+    std::uint64_t number = 0;                     // of the current request
+    std::map<std::string, std::string> in_force;  // settings in force according to the reported changes
   };
 
   World(unsigned seed, int machines, int proxies, int regions, std::size_t places, int services = 1)
@@ -62,7 +62,7 @@
       FollowerOptions options = Options(p, proxy.region);
       options.scope.services = {"s" + std::to_string(p % services)};
       proxy.own = std::make_unique<Follower>(options);
-      // They don't all begin in one instant.
+      // Staggered start.
       Poll(machines + p, static_cast<Micros>(random_() % (200 * kMs)));
     }
   }
@@ -85,16 +85,16 @@
     machine(m).control = std::make_unique<ConfigServer>(options, places_);
     machine(m).waiting.clear();
     machine(m).busy_until = 0;
-    ++machine(m).life;
+    ++machine(m).incarnation;
     ++node(m).number;
     Poll(m, now + static_cast<Micros>(random_() % (20 * kMs)));
   }
   void Kill(int m) {
-    // Whoever waits there hears the end of its connection.
+    // Waiting followers notice the end of their connection.
     auto waiting = std::move(machine(m).waiting);
     machine(m).waiting.clear();
     machine(m).control.reset();
-    ++machine(m).life;
+    ++machine(m).incarnation;
     ++node(m).number;
     for (auto& [id, w] : waiting) Lose(w.node, w.number, Delay());
   }
@@ -121,7 +121,7 @@
     auto published =
         control.Publish(now, serial, differ, 1'000'000 + static_cast<std::uint64_t>(now), &touched);
     if (published == PublishResult::kPublished) {
-      ++node(m).number;  // the question that was out is void
+      ++node(m).number;  // invalidates the current request
       Poll(m, now);
       Wake(m);
     }
@@ -140,7 +140,7 @@
     }
     now = until;
   }
-  // Runs until it holds; the time that took, -1 if it never does within `most`.
+  // Runs until the condition holds; returns the time taken, or -1 if it exceeds `most`.
   Micros Until(Micros most, const std::function<bool()>& holds) {
     Micros begun = now;
     while (now < begun + most) {
@@ -178,7 +178,7 @@
   }
 
   Micros now = 0;
-  bool back = false;  // a proxy was ever taken to an older serial
+  bool back = false;  // whether a proxy ever went back to an older serial
   std::uint64_t bytes_to_proxies = 0;
 
  private:
@@ -196,7 +196,7 @@
   }
   Micros Delay() { return static_cast<Micros>(500 + random_() % (30 * kMs)); }
 
-  // Looks whether a follower has something to ask at `when`.
+  // Checks at `when` whether a follower has a request to send.
   void Poll(int n, Micros when) {
     At(when, [this, n] {
       if (!node(n).own && !machine(node(n).machine).control) return;
@@ -208,11 +208,11 @@
       std::uint64_t number = ++node(n).number;
       At(now + request->timeout, [this, n, number] { Lost(n, number); });
       int m = std::stoi(request->server.substr(1));
-      int life = machine(m).life;
-      if (Parted(node(n).region, machine(m).region) || machine(m).silent) return;  // it finds out by the time
+      int incarnation = machine(m).incarnation;
+      if (Parted(node(n).region, machine(m).region) || machine(m).silent) return;  // noticed by timeout
       if (!machine(m).control) return Lose(n, number, Delay());
-      At(now + Delay(), [this, n, m, number, life, request = *request] {
-        if (machine(m).life != life) return Lose(n, number, Delay());
+      At(now + Delay(), [this, n, m, number, incarnation, request = *request] {
+        if (machine(m).incarnation != incarnation) return Lose(n, number, Delay());
         if (machine(m).silent) return;
         Hear(m, {n, number, request.page, Self(n), now + request.wait});
       });
@@ -228,10 +228,10 @@
     if (reply.kind != Response::Kind::kWait) return Answer(m, w, reply);
     std::uint64_t id = ++ids_;
     machine(m).waiting[id] = w;
-    int life = machine(m).life;
-    At(w.until, [this, m, id, life] {
+    int incarnation = machine(m).incarnation;
+    At(w.until, [this, m, id, incarnation] {
       auto it = machine(m).waiting.find(id);
-      if (machine(m).life != life || it == machine(m).waiting.end()) return;
+      if (machine(m).incarnation != incarnation || it == machine(m).waiting.end()) return;
       auto waiting = it->second;
       machine(m).waiting.erase(it);
       if (!machine(m).silent) Hear(m, waiting);
@@ -248,18 +248,18 @@
   void Answer(int m, const Machine::Waiting& w, const Response& reply) {
     std::size_t bytes = 0;
     for (const Change& c : reply.page.changes) bytes += c.key.size() + (c.value ? c.value->size() : 0) + 16;
-    // Pages of a whole take the machine's time, one after another; a delta goes ahead of them.
+    // Snapshot pages take time at the server, one after another; deltas are sent before them.
     bool whole = reply.kind == Response::Kind::kPage && reply.page.is_snapshot;
     Micros work = whole ? 2 * kMs : 50;
     if (whole) {
-      ++machine(m).wholes;
+      ++machine(m).snapshot_pages;
       machine(m).busy_until = std::max(machine(m).busy_until, now) + work;
     }
     Micros leaves = whole ? machine(m).busy_until : now + work;
     if (Parted(node(w.node).region, machine(m).region)) return;
     At(leaves + Delay(), [this, w, reply, bytes] {
       Node& n = node(w.node);
-      if (n.number != w.number) return;  // given up meanwhile
+      if (n.number != w.number) return;  // abandoned meanwhile
       ++n.number;
       Follower& f = follower(w.node);
       std::uint64_t before = f.store().head().serial;
@@ -311,7 +311,7 @@
   return all;
 }
 
-// The machines are up and every proxy holds serial 1.
+// All servers are running and every proxy has serial 1.
 void Settle(World& world, const std::vector<Change>& settings) {
   Micros took =
       world.Until(60 * kSecond, [&] { return world.Publish(0, 1, settings) != PublishResult::kNotSettled; });
@@ -333,19 +333,21 @@
   return same && count == world.proxy(p).in_force.size();
 }
 
-TEST_CASE("control machines lost one by one: in force within the aim with one left, held with none") {
+TEST_CASE(
+    "config servers fail one by one: changes are in force in time with one left, and settings stay with "
+    "none") {
   for (unsigned seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
     World world(seed, 8, 60, 1, 16);
     Settle(world, Settings(50, 1, "1"));
     std::uint64_t serial = 1;
     for (int m = 7; m >= 1; --m) {
-      // The even ones end, the odd ones fall silent.
+      // Even ones end, odd ones become silent.
       if (m % 2 == 0) world.Kill(m);
       if (m % 2 == 1) world.machine(m).silent = true;
       ++serial;
       CHECK(world.Publish(0, serial, Settings(50, 1, std::to_string(serial))) == PublishResult::kPublished);
-      Micros took = world.Until(kAim, [&] { return world.Everywhere(serial); });
+      Micros took = world.Until(kObjective, [&] { return world.Everywhere(serial); });
       CAPTURE(m);
       CHECK(took >= 0);
     }
@@ -356,39 +358,39 @@
       REQUIRE(Agree(world, p, last));
       CHECK_FALSE(world.proxy(p).own->is_current());
     }
-    // One is back, from nothing, by its file: the proxies hold what it says and go on with what is new.
+    // One returns without state, with its file: the proxies keep their entries and continue with new ones.
     world.Start(0);
-    Micros took = world.Until(kAim, [&] {
+    Micros took = world.Until(kObjective, [&] {
       auto published = world.Publish(0, serial + 1, Settings(50, 1, "back"));
       return published == PublishResult::kPublished;
     });
     CHECK(took >= 0);
-    CHECK(world.Until(kAim, [&] { return world.Everywhere(serial + 1); }) >= 0);
+    CHECK(world.Until(kObjective, [&] { return world.Everywhere(serial + 1); }) >= 0);
     CHECK_FALSE(world.back);
   }
 }
 
-TEST_CASE("all machines silent in one instant but one: noticed and in force within the aim") {
+TEST_CASE("all servers but one become silent at the same time: noticed, and changes are in force in time") {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     World world(seed, 8, 60, 1, 16);
     Settle(world, Settings(20, 1, "1"));
     for (int m = 1; m < 8; ++m) world.machine(m).silent = true;
     world.Publish(0, 2, Settings(20, 1, "2"));
-    CHECK(world.Until(kAim, [&] { return world.Everywhere(2); }) >= 0);
+    CHECK(world.Until(kObjective, [&] { return world.Everywhere(2); }) >= 0);
   }
 }
 
-TEST_CASE("a region cut off for minutes goes on by what it has, and takes up what it missed as a delta") {
+TEST_CASE("a region partitioned for minutes keeps its settings and receives the missed changes as a delta") {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     CAPTURE(seed);
     World world(seed, 8, 100, 5, 16);
     Settle(world, Settings(2'000, 1, "1"));
     for (int region = 0; region < 4; ++region) world.Part(region, 4, true);
-    // Region 4 has a machine of its own (m4); the origin is in region 0.
+    // Region 4 has its own server (m4); the origin is in region 0.
     std::uint64_t serial = 1;
-    std::size_t wholes = 0;
-    for (int m = 0; m < 8; ++m) wholes += world.machine(m).wholes;
+    std::size_t snapshot_pages = 0;
+    for (int m = 0; m < 8; ++m) snapshot_pages += world.machine(m).snapshot_pages;
     for (int minute = 0; minute < 5; ++minute) {
       ++serial;
       auto settings = Settings(2'000, 1, "1");
@@ -402,20 +404,21 @@
       }
     }
     for (int region = 0; region < 4; ++region) world.Part(region, 4, false);
-    CHECK(world.Until(kAim, [&] { return world.Everywhere(serial); }) >= 0);
+    CHECK(world.Until(kObjective, [&] { return world.Everywhere(serial); }) >= 0);
     std::size_t after = 0;
-    for (int m = 0; m < 8; ++m) after += world.machine(m).wholes;
-    CHECK(after == wholes);
+    for (int m = 0; m < 8; ++m) after += world.machine(m).snapshot_pages;
+    CHECK(after == snapshot_pages);
     CHECK_FALSE(world.back);
   }
 }
 
-TEST_CASE("a stale control machine that comes back takes nobody back, as one that follows or as an origin") {
+TEST_CASE(
+    "a stale config server that comes back moves no follower back, neither as a replica nor as an origin") {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
     World world(seed, 4, 60, 1, 16);
     Settle(world, Settings(50, 1, "old"));
-    // m3 stands still with serial 1 while the others go on, then is there again as it was.
+    // m3 is stopped with serial 1 while the others continue, and then resumes.
     world.machine(3).silent = true;
     for (std::uint64_t serial = 2; serial <= 4; ++serial) {
       world.Publish(0, serial, Settings(50, 1, std::to_string(serial)));
@@ -426,7 +429,7 @@
     CHECK(world.Everywhere(4));
     CHECK_FALSE(world.back);
     CHECK(world.machine(3).control->store().head().serial == 4);
-    // The origin ends; an old one with the file of serial 3 comes up and wants to publish it.
+    // The origin ends; an old one with the file of serial 3 starts and tries to publish it.
     world.Kill(0);
     world.Kill(2);
     world.Start(2);
@@ -438,24 +441,24 @@
     CHECK(world.Publish(2, 4, Settings(50, 1, "4")) == PublishResult::kUnchanged);
     world.Run(world.now + 30 * kSecond);
     CHECK(world.Everywhere(4));
-    // With a newer file it is the origin, and goes on by deltas: nobody needs the whole.
-    std::size_t wholes = 0;
-    for (int m = 0; m < 4; ++m) wholes += world.machine(m).wholes;
+    // With a newer file it becomes the origin and continues with deltas: no snapshot is needed.
+    std::size_t snapshot_pages = 0;
+    for (int m = 0; m < 4; ++m) snapshot_pages += world.machine(m).snapshot_pages;
     CHECK(world.Publish(2, 5, Settings(50, 1, "5")) == PublishResult::kPublished);
-    CHECK(world.Until(kAim, [&] { return world.Everywhere(5); }) >= 0);
+    CHECK(world.Until(kObjective, [&] { return world.Everywhere(5); }) >= 0);
     std::size_t after = 0;
-    for (int m = 0; m < 4; ++m) after += world.machine(m).wholes;
-    CHECK(after == wholes);
+    for (int m = 0; m < 4; ++m) after += world.machine(m).snapshot_pages;
+    CHECK(after == snapshot_pages);
     CHECK_FALSE(world.back);
   }
 }
 
-// With no other machine to ask, an old origin can't know better; the proxies do.
-TEST_CASE("an old origin that is alone is refused by every proxy, which keeps what it has") {
+// Without other servers an old origin cannot detect that it is old; the proxies can.
+TEST_CASE("an old origin without other servers is rejected by every proxy, which keeps its settings") {
   World world(3, 2, 40, 1, 16);
   Settle(world, Settings(50, 1, "old"));
   world.Publish(0, 5, Settings(50, 1, "5"));
-  REQUIRE(world.Until(kAim, [&] { return world.Everywhere(5); }) >= 0);
+  REQUIRE(world.Until(kObjective, [&] { return world.Everywhere(5); }) >= 0);
   world.Kill(0);
   world.Kill(1);
   world.Start(1);
@@ -469,26 +472,25 @@
     CHECK(world.proxy(p).in_force.size() == 50);
     CHECK_FALSE(world.proxy(p).own->is_current());
   }
-  // The same serial in a line of its own, begun later: taken, so that a tier restarted from its file serves
-  // on.
+  // The same serial in a later epoch is accepted, so that servers restarted from their file are followed.
   world.Kill(1);
   world.Start(1);
   took = world.Until(30 * kSecond,
                      [&] { return world.Publish(1, 5, Settings(50, 1, "5")) == PublishResult::kPublished; });
   CHECK(took >= 0);
-  CHECK(world.Until(kAim, [&] {
+  CHECK(world.Until(kObjective, [&] {
     for (int p = 0; p < world.proxies(); ++p)
       if (!world.proxy(p).own->is_current()) return false;
     return true;
   }) >= 0);
 }
 
-TEST_CASE("1,900 that reconnect at once: so many wholes at a time, all in force within the aim") {
+TEST_CASE("1,900 proxies reconnect at the same time: snapshots are limited, and all are up to date in time") {
   for (unsigned seed : {1u}) {
     CAPTURE(seed);
-    constexpr int kServices = 102;  // of the 510, so that the test stays small
+    constexpr int kServices = 102;  // of the 510, to keep the test small
     World world(seed, 8, 1'900, 5, 16, kServices);
-    // The bytes of the target's whole for a proxy (some 30 kB, two pages), in fewer and longer entries.
+    // The size of the target's snapshot for a proxy (about 30 kB, two pages), in fewer and longer entries.
     std::string long_value = "{\"portion\":0.001,\"quotaRps\":5,\"note\":\"" + std::string(200, 'x') + "\"}";
     std::vector<Change> settings = Settings(kServices * 100, kServices, long_value);
     Micros took = world.Until(60 * kSecond,
@@ -497,9 +499,9 @@
     took = world.Until(60 * kSecond, [&] { return world.Everywhere(1); });
     CAPTURE(took);
     CHECK(took >= 0);
-    CHECK(took <= kAim);
+    CHECK(took <= kObjective);
     CHECK(world.MostWholes() <= 16);
-    // All proxies restart at once, with nothing held; a change comes in the middle of it.
+    // All proxies restart at the same time without state; a change is published meanwhile.
     for (int p = 0; p < world.proxies(); ++p) world.Restart(p);
     world.Run(world.now + 500 * kMs);
     settings[0].value = "{\"portion\":0.002,\"quotaRps\":5}";
@@ -507,7 +509,7 @@
     took = world.Until(60 * kSecond, [&] { return world.Everywhere(2); });
     CAPTURE(took);
     CHECK(took >= 0);
-    CHECK(took <= kAim);
+    CHECK(took <= kObjective);
     CHECK(world.MostWholes() <= 16);
     CHECK_FALSE(world.back);
   }
@@ -522,7 +524,7 @@
     Settle(world, Settings(1'200, 4, "1"));
     std::uint64_t serial = 1;
     for (int round = 0; round < 4; ++round) {
-      // Half of all is another entry from now on, the rest has a new value.
+      // Half of the entries are replaced, the rest get new values.
       ++serial;
       auto settings = Settings(1'200, 4, std::to_string(serial), round * 600);
       REQUIRE(world.Publish(0, serial, settings) == PublishResult::kPublished);
@@ -531,13 +533,13 @@
           world.Move(p,
                      Scope{false, {"s" + std::to_string((p + round) % 4), "s" + std::to_string(round % 4)}});
       }
-      // The machine that most are at goes in the middle of their pages.
+      // The server with the most followers ends while it sends their pages.
       world.Run(world.now + static_cast<Micros>(seed * 7 * kMs));
       int m = 1 + round % 2;
       world.Kill(m);
       world.Run(world.now + 3 * kSecond);
       world.Start(m);
-      CHECK(world.Until(kAim, [&] {
+      CHECK(world.Until(kObjective, [&] {
         for (int p = 0; p < world.proxies(); ++p)
           if (world.proxy(p).own->is_loading_snapshot()) return false;
         return world.Everywhere(serial);
@@ -551,7 +553,7 @@
   }
 }
 
-TEST_CASE("a page that doesn't join what is held is not taken") {
+TEST_CASE("a page that does not continue the current position is ignored") {
   FollowerOptions options;
   options.self = "p";
   options.nearby = {"m0", "m1"};
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -58,28 +58,28 @@
 
 struct Kind {
   const char* what;
-  void (*fail)(ProxyFixture& fixture, TestConnection& asked);
+  void (*fail)(ProxyFixture& fixture, TestConnection& request);
 };
 
 const std::vector<Kind> kKinds = {
-    {"rejected", [](ProxyFixture&, TestConnection& asked) { asked.Send(Response(503)); }},
-    {"reset", [](ProxyFixture&, TestConnection& asked) { asked.Reset(); }},
-    {"closed", [](ProxyFixture&, TestConnection& asked) { asked.Close(); }},
-    {"malformed list", [](ProxyFixture&, TestConnection& asked) { asked.Send(Response(200, "{]")); }},
-    {"malformed HTTP", [](ProxyFixture&, TestConnection& asked) { asked.Send("nonsense\r\n\r\n"); }},
+    {"rejected", [](ProxyFixture&, TestConnection& request) { request.Send(Response(503)); }},
+    {"reset", [](ProxyFixture&, TestConnection& request) { request.Reset(); }},
+    {"closed", [](ProxyFixture&, TestConnection& request) { request.Close(); }},
+    {"malformed list", [](ProxyFixture&, TestConnection& request) { request.Send(Response(200, "{]")); }},
+    {"malformed HTTP", [](ProxyFixture&, TestConnection& request) { request.Send("nonsense\r\n\r\n"); }},
     {"half a response, then a close",
-     [](ProxyFixture&, TestConnection& asked) {
-       asked.Send("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
-       asked.Close();
+     [](ProxyFixture&, TestConnection& request) {
+       request.Send("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
+       request.Close();
      }},
     {"half a response, then silence",
-     [](ProxyFixture& fixture, TestConnection& asked) {
-       asked.Send("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
-       fixture.WaitUntil("the request is abandoned", [&] { return asked.IsClosed(); });
+     [](ProxyFixture& fixture, TestConnection& request) {
+       request.Send("HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{\"rev\":");
+       fixture.WaitUntil("the request is abandoned", [&] { return request.IsClosed(); });
      }},
     {"silence",
-     [](ProxyFixture& fixture, TestConnection& asked) {
-       fixture.WaitUntil("the request is abandoned", [&] { return asked.IsClosed(); });
+     [](ProxyFixture& fixture, TestConnection& request) {
+       fixture.WaitUntil("the request is abandoned", [&] { return request.IsClosed(); });
      }},
 };
 
@@ -95,9 +95,9 @@
     // Two failures in a row if each takes a timeout, four if they are immediate.
     bool slow = std::string(kind.what).find("silence") != std::string::npos;
     for (int i = 0; i < (slow ? 2 : 4); ++i) {
-      TestConnection& asked = WaitForDiscoveryRequest(fixture, First(version));
-      kind.fail(fixture, asked);
-      asked.text.clear();
+      TestConnection& request = WaitForDiscoveryRequest(fixture, First(version));
+      kind.fail(fixture, request);
+      request.text.clear();
     }
     // The server drains and returns for the next kind of failure; both changes come with the first response.
     WaitForDiscoveryRequest(fixture, First(version))
@@ -137,11 +137,11 @@
   TestServer server;
   fixture.SetEndpoints({});
   fixture.discovery.Watch();
-  TestConnection& asked = WaitForDiscoveryRequest(fixture, First(41));
+  TestConnection& request = WaitForDiscoveryRequest(fixture, First(41));
   // On the event loop's clock, so that load on the machine delays both equally.
   Timer served(fixture.loop);
-  served.Set(2'400 * kMs, [&] { asked.Send(Changes(42, Entry(server, "up"))); });
-  fixture.WaitUntil("the watch continues", [&] { return asked.HasReceived("GET " + Waiting(42)); });
+  served.Set(2'400 * kMs, [&] { request.Send(Changes(42, Entry(server, "up"))); });
+  fixture.WaitUntil("the watch continues", [&] { return request.HasReceived("GET " + Waiting(42)); });
   CHECK(fixture.discovery_server.connections.size() == 1);
   CHECK(Goes(fixture, server, server, "a1"));
 }
--- a/tests/golden/console_golden_test.cpp
+++ b/tests/golden/console_golden_test.cpp
@@ -1,6 +1,5 @@
-// The console's answers of a running program, the fleet's view as JSON, the drain state file and the JSON
-// log, as an earlier build wrote them. Where times, ports or process numbers are in a text, its digits are
-// left out.
+// The console's responses of a running program, the fleet status as JSON, the drain state file and the JSON
+// log, compared with those of an earlier build. In texts with times, ports or process ids, digits are masked.
 #include <cstdio>
 #include <string>
 #include <vector>
@@ -21,7 +20,7 @@
   return line + "\n" + connection.text + "\n----\n";
 }
 
-TEST_CASE("the console of a running program answers as before") {
+TEST_CASE("the console of a running program responds as before") {
   ProxyFixture fixture;
   TestServer server;
   Program program(ProgramConfig(0, server.port),
@@ -74,7 +73,7 @@
   return options;
 }
 
-TEST_CASE("the view of the fleet has the same keys in the same order as before") {
+TEST_CASE("the fleet status has the same keys in the same order as before") {
   ProxyFixture fixture;
   NoObserver sink;
   MembershipTransport first(fixture.loop, fixture.log, FixedFleet(), "n0", "z0", sink);
@@ -92,7 +91,7 @@
   CHECK(Golden("console_fleet.txt", all) == all);
 }
 
-TEST_CASE("the drain state file is written as before, and the recorded one is read") {
+TEST_CASE("the drain state file is written as before, and the recorded one can be read") {
   const drain::AdministrativeDrains drains({"w1", "w-2\"x"},
                                            {{"w3", ToTimePoint(1'700'000'000'000'000)}, {"w4", TimePoint{}}});
   std::string text = drain::SerializeDrains(drains);
--- a/tests/golden/feed_golden_test.cpp
+++ b/tests/golden/feed_golden_test.cpp
@@ -1,5 +1,5 @@
-// The settings feed's requests and pages, the control server's answers and the origin's file, as an earlier
-// build wrote and read them.
+// The configuration feed's requests and pages, the config server's responses and the origin's file, compared
+// with those of an earlier build.
 #include <string>
 #include <vector>
 
@@ -27,7 +27,7 @@
   return page;
 }
 
-TEST_CASE("pages and requests of the feed are written as before, and the recorded ones are read") {
+TEST_CASE("pages and requests of the feed are written as before, and the recorded ones can be read") {
   config_feed::FeedRequest delta{"p1", {}, 2000};
   delta.page.position = {12, 7, 340};
   delta.page.scope.services = {"plan-1", "plan-7"};
@@ -96,7 +96,7 @@
   return connection.text;
 }
 
-TEST_CASE("the control server's answers, heads and all, are as before") {
+TEST_CASE("the config server's responses, with headers, are as before") {
   ProxyFixture fixture;
   config_feed::FollowerOptions options;
   options.self = "c1";
@@ -128,7 +128,7 @@
   void OnSettingsChanged(const std::vector<config_feed::Change>&) override {}
 };
 
-TEST_CASE("the state of the feed that the console shows is as before") {
+TEST_CASE("the feed status of the console is as before") {
   ProxyFixture fixture;
   config_feed::FollowerOptions options;
   options.self = "p1";
--- a/tests/golden/golden.hpp
+++ b/tests/golden/golden.hpp
@@ -1,4 +1,4 @@
-// Golden files: bytes that an earlier build wrote, which every later build must write and read the same.
+// Golden files: bytes written by an earlier build, which later builds must write and read identically.
 //
 // A test calls Golden("name", bytes) and compares. Set DAPPLETILLER_WRITE_GOLDEN=1 to write files that do not
 // exist yet; a file that exists is never overwritten, since a golden file that changes is a change of
@@ -18,8 +18,8 @@
 
 namespace dappletiller::testing {
 
-// The content of tests/golden/NAME. Where the file is missing the test fails, after writing `actual` to it if
-// the environment asks for that.
+// The contents of tests/golden/NAME. If the file is missing, the test fails, after writing `actual` to it if
+// the environment variable is set.
 inline std::string Golden(const std::string& name, const std::string& actual) {
   const std::string path = std::string(DAPPLETILLER_GOLDEN_FOLDER) + "/" + name;
   std::ifstream file(path, std::ios::binary);
@@ -39,7 +39,7 @@
   return text;
 }
 
-// For text that carries times, ports and process numbers: each run of digits becomes one '#'.
+// For text with times, ports and process ids: replaces each run of digits by one '#'.
 inline std::string WithoutNumbers(std::string_view text) {
   std::string result;
   for (char c : text) {
--- a/tests/golden/membership_golden_test.cpp
+++ b/tests/golden/membership_golden_test.cpp
@@ -1,5 +1,5 @@
-// What members say to one another: datagrams of each kind with a fixed key, lease messages, and every message
-// of whole fleets in simulated time, as a hash for each seed.
+// Messages between members, compared with those of an earlier build: datagrams of each kind with a fixed key,
+// lease messages, and a hash of all messages of simulated fleets for each seed.
 #include <array>
 #include <map>
 #include <memory>
@@ -67,7 +67,7 @@
     MessageKind::kPing,   MessageKind::kAck,          MessageKind::kPingRequest,   MessageKind::kNack,
     MessageKind::kGossip, MessageKind::kStateRequest, MessageKind::kStateResponse, MessageKind::kApplication};
 
-TEST_CASE("a datagram of each kind is written byte for byte as before, and the recorded one is read") {
+TEST_CASE("a datagram of each kind is written byte for byte as before, and the recorded one can be read") {
   Codec codec("golden", {FixedKey()});
   std::string all;
   for (MessageKind kind : kAllKinds) {
@@ -90,7 +90,7 @@
   CHECK(Golden("leases.txt", all) == all);
 }
 
-// ---- A fleet in simulated time, small and with a network of its own, so that all it says can be hashed ----
+// ---- A small fleet in simulated time with its own network, so that all messages can be hashed ----
 
 constexpr Duration kTraceTick = Membership::kTickInterval;
 
@@ -139,7 +139,7 @@
   void Start(int i) {
     Node& node = At(i);
     Settings settings;
-    // Two of them share one name, so that a name conflict is in the trace too.
+    // Two members share a name, so that the trace includes a name conflict.
     settings.name = "m" + std::to_string(i == 7 ? 6 : i);
     settings.address = AddressOf(i);
     settings.zone = "z" + std::to_string(i % 3);
@@ -189,7 +189,7 @@
     Send(i, std::move(out));
   }
 
-  // An operator's word on one that is dead, if there is one; a message of another part; other intervals.
+  // A forced removal of a dead member, if there is one; an application message; changed intervals.
   void Force(Node* node) {
     std::string dead;
     std::string living;
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases for what reads bytes: HTTP in both directions, time-outs, addresses, lists, the
+// Parsers, by tables of cases: HTTP requests and responses, timeouts, addresses, endpoint lists, the
 // configuration.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "http/parser.hpp"
@@ -21,7 +21,7 @@
 struct Case {
   const char* what;
   std::string bytes;
-  int error;  // 0: a whole message
+  int error;  // 0: a complete message
   std::string body;
 };
 
@@ -31,7 +31,7 @@
   return all;
 }
 
-// Each case is fed whole and byte by byte: how the bytes are cut up must not matter.
+// Each case is fed at once and byte by byte; the result must be the same.
 void Play(Parser::Kind kind, const std::vector<Case>& cases) {
   for (const Case& c : cases) {
     for (std::size_t step : {c.bytes.size(), std::size_t{1}}) {
@@ -99,8 +99,8 @@
         {"too much, up to the end", kOk + "\r\n" + Repeat("x", 70000), 413, ""}});
 }
 
-// Guards against taking a cut answer for a whole one: it would be served to the client.
-TEST_CASE("an answer that breaks off is not whole") {
+// A truncated response must not count as complete, or it would be forwarded to the client.
+TEST_CASE("a truncated response is not complete") {
   for (const char* text : {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", "HTTP/1.1 200 OK\r\nConte",
                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"}) {
     Parser parser(Parser::Kind::kResponse);
@@ -110,7 +110,7 @@
   }
 }
 
-TEST_CASE("requests that follow one another are taken one at a time") {
+TEST_CASE("pipelined requests are returned one at a time") {
   Parser parser(Parser::Kind::kRequest);
   parser.Feed(
       "POST /1 HTTP/1.1\r\nContent-Length: 1\r\n\r\naGET /2 HTTP/1.1\r\nConnection: close\r\n\r\nGET");
@@ -128,7 +128,7 @@
   CHECK_FALSE(parser.done());
 }
 
-TEST_CASE("a request goes on with its own head, less what concerns its connection") {
+TEST_CASE("a request is forwarded with its headers except those of its connection") {
   Parser parser(Parser::Kind::kRequest);
   parser.Feed(
       "POST /api?k=7f HTTP/1.1\r\nHost: o\r\nRequest-Id: 9b\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
@@ -144,7 +144,7 @@
   CHECK(out.Text() == "i");
 }
 
-TEST_CASE("an overload reply says when to come back") {
+TEST_CASE("a rejection has a Retry-After") {
   struct {
     Micros after;
     const char* line;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_CASE("time-outs and addresses") {
+TEST_CASE("timeouts and addresses") {
   CHECK(http::ParseTimeout("480m") == 480'000);
   CHECK(http::ParseTimeout("250000u") == 250'000);
   for (const char* bad : {"", "m", "480", "480s", "-1m", "4 m", "99999999999999999m"}) {
@@ -206,7 +206,7 @@
     INFO(std::string(bad));
     CHECK_FALSE(ParseList(bad, names));
   }
-  CHECK_FALSE(ParseList(Repeat("[", 5000), names));  // deeper than the reader goes
+  CHECK_FALSE(ParseList(Repeat("[", 5000), names));  // nested more deeply than the reader permits
 }
 
 std::string ConfigText() {
@@ -224,7 +224,7 @@
   "connIdle":15000000}}})";
 }
 
-TEST_CASE("the configuration gives names the meaning that the adapter gives them") {
+TEST_CASE("the configuration is interpreted like the settings of the simulator adapter") {
   Config c = ParseConfig(ConfigText());
   CHECK(c.name == "n3");
   CHECK(c.listen.port == 8080);
@@ -248,8 +248,8 @@
   CHECK(c.longest_deadline == 4'000'000);
 }
 
-// Guards against starting half configured: what is missing is said in one line.
-TEST_CASE("a bad configuration is an error of one line") {
+// The proxy must not start with an incomplete configuration; the error is reported in one line.
+TEST_CASE("an invalid configuration is a one-line error") {
   struct {
     const char* from;
     const char* to;
--- a/tests/membership/codec_fuzz.cpp
+++ b/tests/membership/codec_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target: what arrives, with a MAC made right, so that the parser behind it is reached. Whatever parses
-// is fed to a view, and must come back the same when written and read once more.
+// Fuzz target: received bytes with a valid MAC, so that the parser is reached. Messages that can be parsed
+// are passed to a Membership, and must be unchanged after encoding and decoding.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -13,7 +13,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   static const dm::Codec codec("fuzz", {});
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  static_cast<void>(codec.Decode(bytes));  // as it came: nearly always refused
+  static_cast<void>(codec.Decode(bytes));  // unmodified: almost always rejected
   auto message = codec.DecodeBody(bytes);
   if (!message) return 0;
   auto again = codec.Decode(codec.Encode(*message));
@@ -32,6 +32,6 @@
     static_cast<void>(
         view.Tick(start + (i + 1) * dm::Membership::kTickInterval + std::chrono::microseconds(i)));
   }
-  if (view.members().size() > 1) std::abort();  // nobody has answered a question
+  if (view.members().size() > 1) std::abort();  // no member has answered a probe
   return 0;
 }
--- a/tests/membership/codec_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -1,4 +1,4 @@
-// Messages as bytes: what is whole and ours comes back as it was, all else is refused with its reason.
+// Encoding of messages: valid messages survive encoding and decoding, all others are rejected with a reason.
 #include "membership/codec.hpp"
 
 #include <doctest/doctest.h>
@@ -56,7 +56,7 @@
   return m;
 }
 
-TEST_CASE("a message comes back as it was, and is no larger than reckoned") {
+TEST_CASE("a message is unchanged by encoding and decoding, and is within its size bound") {
   Codec codec("lab", Keys({1}));
   pcg64 random(7);
   for (int i = 0; i < 500; ++i) {
@@ -75,7 +75,9 @@
   }
 }
 
-TEST_CASE("what is cut, changed, foreign, of another key, fleet or version is refused by its reason") {
+TEST_CASE(
+    "truncated, modified or foreign messages, and those of another key, fleet or version, are rejected with "
+    "their reason") {
   Codec codec("lab", Keys({1}));
   pcg64 random(8);
   std::string bytes = codec.Encode(Some(random));
@@ -99,7 +101,7 @@
   CHECK(error_of(Codec("another", Keys({1})), bytes) == DecodeError::kFleet);
 }
 
-TEST_CASE("during a change of keys both are accepted and the first one signs") {
+TEST_CASE("during a key rotation both keys are accepted and the first one signs") {
   Codec before("lab", Keys({1})), between("lab", Keys({1, 2})), changed("lab", Keys({2, 1})),
       after("lab", Keys({2}));
   pcg64 random(9);
@@ -110,7 +112,7 @@
   CHECK_FALSE(after.Decode(between.Encode(m)).ok());
 }
 
-TEST_CASE("a key file holds one or two keys of 64 digits, and errors name the line but not the key") {
+TEST_CASE("a key file has one or two keys of 64 digits, and errors state the line but not the key") {
   std::string key = GenerateKey();
   REQUIRE(key.size() == 64);
   CHECK(ParseKeys(key + "\n")->size() == 1);
@@ -124,7 +126,7 @@
   }
 }
 
-TEST_CASE("only such records are well formed as this program sends") {
+TEST_CASE("only records as sent by this program are well formed") {
   MemberRecord fine;
   fine.name = "p1";
   CHECK(IsWellFormed(fine));
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,5 +1,5 @@
-// The view, fed by hand and in simulated time: whom it believes, what it bounds, and that it settles. The
-// planted flaws show that the trials can fail.
+// Membership, driven by hand and in simulated time: which claims it accepts, its bounds, and convergence.
+// Planted bugs show that the simulation can fail.
 #include "membership/membership.hpp"
 
 #include <doctest/doctest.h>
@@ -19,10 +19,10 @@
 
 constexpr Duration kSecond = seconds(1);
 
-// One view, and a hand that plays everybody else.
-class Hand {
+// One Membership; the test plays all other members.
+class TestMembership {
  public:
-  Hand() : view(Named(), 5) { static_cast<void>(view.Start(now)); }
+  TestMembership() : view(Named(), 5) { static_cast<void>(view.Start(now)); }
   static Settings Named() {
     Settings s;
     s.name = "self";
@@ -44,7 +44,7 @@
   void Collect(std::vector<Outgoing> messages) {
     std::move(messages.begin(), messages.end(), std::back_inserter(out));
   }
-  // Lets time pass; `answer` says who answers its questions.
+  // Advances the time; `answer` lists the members that answer probes.
   void Pass(Duration span, const std::vector<MemberRecord>& answer = {}) {
     for (TimePoint end = now + span; now < end;) {
       now += Membership::kTickInterval;
@@ -87,7 +87,7 @@
   TimePoint now{50 * kSecond};
   std::vector<Outgoing> out;
   std::vector<MemberRecord> joined;
-  std::vector<Outgoing> datagrams;  // all that was ever sent
+  std::vector<Outgoing> datagrams;  // all messages sent
   Membership view;
   std::uint64_t number = 0;
   Message last;
@@ -101,278 +101,278 @@
   return c;
 }
 
-TEST_CASE("hearsay tells only whom to ask: nobody enters without an answer of its own") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), phantom = Hand::Of("phantom");
-  hand.Join(a);
-  hand.Say(MessageKind::kGossip, a, {phantom});
-  hand.Pass(2 * kSecond, {a});
-  CHECK(hand.view.members().count("phantom") == 0);
-  bool asked = std::any_of(hand.datagrams.begin(), hand.datagrams.end(),
+TEST_CASE("gossip only causes probes: no process becomes a member without its own answer") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), phantom = TestMembership::Of("phantom");
+  test.Join(a);
+  test.Say(MessageKind::kGossip, a, {phantom});
+  test.Pass(2 * kSecond, {a});
+  CHECK(test.view.members().count("phantom") == 0);
+  bool asked = std::any_of(test.datagrams.begin(), test.datagrams.end(),
                            [&](const Outgoing& o) { return o.address == phantom.address; });
   CHECK(asked);
-  hand.Pass(6 * kSecond, {a});
-  hand.Say(MessageKind::kGossip, a, {phantom});
-  hand.Pass(kSecond, {a, phantom});
-  CHECK(hand.view.members().count("phantom") == 1);
+  test.Pass(6 * kSecond, {a});
+  test.Say(MessageKind::kGossip, a, {phantom});
+  test.Pass(kSecond, {a, phantom});
+  CHECK(test.view.members().count("phantom") == 1);
 }
 
-TEST_CASE("nobody is dead on another's word, and one who calls everybody ill is no longer believed") {
-  Hand hand;
+TEST_CASE("no member is dead by another's claim, and a member that accuses all others is ignored") {
+  TestMembership test;
   std::vector<MemberRecord> all;
   for (int i = 0; i < 20; ++i) {
-    all.push_back(Hand::Of("m" + std::to_string(i)));
-    hand.Join(all.back());
+    all.push_back(TestMembership::Of("m" + std::to_string(i)));
+    test.Join(all.back());
   }
   std::vector<MemberRecord> lies;
   for (int i = 1; i < 20; ++i)
     lies.push_back(Claimed(all[static_cast<std::size_t>(i)], MemberState::kDead, "m0"));
-  hand.Say(MessageKind::kGossip, all[0], lies);
-  auto suspects = std::count_if(hand.view.members().begin(), hand.view.members().end(),
+  test.Say(MessageKind::kGossip, all[0], lies);
+  auto suspects = std::count_if(test.view.members().begin(), test.view.members().end(),
                                 [](const auto& m) { return m.second.record.state != MemberState::kAlive; });
   CHECK(suspects <= 5);
-  CHECK(hand.view.counters().accusations_ignored >= 14);
-  // They all answer, without ever hearing of it: none dies however long it is said.
+  CHECK(test.view.counters().accusations_ignored >= 14);
+  // All answer without learning of the accusations: none dies, however long they last.
   for (int i = 0; i < 20; ++i) {
-    hand.Say(MessageKind::kGossip, all[0], lies);
-    hand.Pass(kSecond, all);
+    test.Say(MessageKind::kGossip, all[0], lies);
+    test.Pass(kSecond, all);
   }
-  CHECK(hand.view.counters().deaths == 0);
+  CHECK(test.view.counters().deaths == 0);
 }
 
-TEST_CASE("silence kills: suspected, asked again, then dead, and alive again by its own answer") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b"), c = Hand::Of("c");
-  for (const MemberRecord& r : {a, b, c}) hand.Join(r);
-  hand.Pass(12 * kSecond, {a, b});
-  CHECK(hand.StateOf("c") == MemberState::kDead);
-  CHECK(hand.StateOf("a") == MemberState::kAlive);
-  CHECK(hand.view.counters().deaths == 1);
-  // That others call it alive changes nothing; that it answers does.
-  hand.Say(MessageKind::kGossip, a, {Hand::Of("c", 10, 3)});
-  CHECK(hand.StateOf("c") == MemberState::kDead);
-  hand.Pass(10 * kSecond, {a, b, c});
-  CHECK(hand.StateOf("c") == MemberState::kAlive);
+TEST_CASE("a silent member is suspected, probed again, then dead, and alive again by its own answer") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b"), c = TestMembership::Of("c");
+  for (const MemberRecord& r : {a, b, c}) test.Join(r);
+  test.Pass(12 * kSecond, {a, b});
+  CHECK(test.StateOf("c") == MemberState::kDead);
+  CHECK(test.StateOf("a") == MemberState::kAlive);
+  CHECK(test.view.counters().deaths == 1);
+  // Claims by others that it is alive have no effect; its own answer does.
+  test.Say(MessageKind::kGossip, a, {TestMembership::Of("c", 10, 3)});
+  CHECK(test.StateOf("c") == MemberState::kDead);
+  test.Pass(10 * kSecond, {a, b, c});
+  CHECK(test.StateOf("c") == MemberState::kAlive);
 }
 
 TEST_CASE(
     "a later incarnation's attributes are taken from gossip: new ones, later versions, and no more than "
     "fit") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b");
-  hand.Join(a);
-  hand.Join(b);
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b");
+  test.Join(a);
+  test.Join(b);
   MemberRecord later = b;
   later.incarnation = 1;
   later.attributes = {{"first", 1, "one"}};
-  hand.Say(MessageKind::kGossip, a, {later});
-  const std::vector<Attribute>& known = hand.view.members().at("b").record.attributes;
+  test.Say(MessageKind::kGossip, a, {later});
+  const std::vector<Attribute>& known = test.view.members().at("b").record.attributes;
   REQUIRE(known.size() == 1);
   CHECK(known[0] == Attribute{"first", 1, "one"});
   later.incarnation = 2;
   later.attributes = {{"first", 2, "two"}, {"second", 1, "new"}};
-  hand.Say(MessageKind::kGossip, a, {later});
+  test.Say(MessageKind::kGossip, a, {later});
   CHECK(known == std::vector<Attribute>{{"first", 2, "two"}, {"second", 1, "new"}});
   later.incarnation = 3;
   later.attributes = {{"first", 1, "old"}};
   for (std::size_t i = 1; i < kMaxAttributes; ++i)
     later.attributes.push_back({"k" + std::to_string(i), 1, "x"});
-  hand.Say(MessageKind::kGossip, a, {later});
+  test.Say(MessageKind::kGossip, a, {later});
   CHECK(known.size() == kMaxAttributes);
   CHECK(known[0] == Attribute{"first", 2, "two"});
 }
 
-TEST_CASE("incarnations and starts near the end of the numbers are not taken from hearsay") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b");
-  hand.Join(a);
-  hand.Join(b);
+TEST_CASE("incarnations and boots near the maximum are not accepted from gossip") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b");
+  test.Join(a);
+  test.Join(b);
   MemberRecord far = Claimed(b, MemberState::kSuspect, "a");
   far.incarnation = (1ULL << 62) - 2;
-  hand.Say(MessageKind::kGossip, a, {far});
-  CHECK(hand.StateOf("b") == MemberState::kAlive);
-  CHECK(hand.view.members().at("b").record.incarnation == 0);
-  MemberRecord self = hand.view.self();
+  test.Say(MessageKind::kGossip, a, {far});
+  CHECK(test.StateOf("b") == MemberState::kAlive);
+  CHECK(test.view.members().at("b").record.incarnation == 0);
+  MemberRecord self = test.view.self();
   MemberRecord about = Claimed(self, MemberState::kDead, "a");
   about.incarnation = (1ULL << 62) - 2;
-  hand.Say(MessageKind::kGossip, a, {about});
-  CHECK(hand.view.self().incarnation == self.incarnation);
+  test.Say(MessageKind::kGossip, a, {about});
+  CHECK(test.view.self().incarnation == self.incarnation);
   about.incarnation = self.incarnation;
-  hand.Say(MessageKind::kGossip, a, {about});
-  CHECK(hand.view.self().incarnation == self.incarnation + 1);
+  test.Say(MessageKind::kGossip, a, {about});
+  CHECK(test.view.self().incarnation == self.incarnation + 1);
 }
 
-TEST_CASE("a message that comes again, for another, or for an earlier start does nothing but count") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b");
-  hand.Join(a);
-  hand.Join(b);
-  hand.Say(MessageKind::kGossip, a, {Claimed(b, MemberState::kSuspect, "a")});
-  CHECK(hand.StateOf("b") == MemberState::kSuspect);
-  hand.Pass(kSecond, {a, Hand::Of("b", 10, 1)});
-  CHECK(hand.StateOf("b") == MemberState::kAlive);
-  std::uint64_t before = hand.view.counters().replayed;
-  hand.Receive(hand.last);
-  CHECK(hand.view.counters().replayed == before + 1);
-  Message other = hand.last;
-  other.number = ++hand.number;
+TEST_CASE("replayed, misaddressed and outdated messages are only counted") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b");
+  test.Join(a);
+  test.Join(b);
+  test.Say(MessageKind::kGossip, a, {Claimed(b, MemberState::kSuspect, "a")});
+  CHECK(test.StateOf("b") == MemberState::kSuspect);
+  test.Pass(kSecond, {a, TestMembership::Of("b", 10, 1)});
+  CHECK(test.StateOf("b") == MemberState::kAlive);
+  std::uint64_t before = test.view.counters().replayed;
+  test.Receive(test.last);
+  CHECK(test.view.counters().replayed == before + 1);
+  Message other = test.last;
+  other.number = ++test.number;
   other.recipient = "somebody";
-  hand.Receive(other);
+  test.Receive(other);
   other.recipient = "self";
   other.recipient_boot = 99;
   other.kind = MessageKind::kGossip;
-  hand.Receive(other);
-  CHECK(hand.view.counters().misaddressed == 2);
+  test.Receive(other);
+  CHECK(test.view.counters().misaddressed == 2);
 }
 
-TEST_CASE("a forger's high numbers hold a member up only until it answers a question") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b");
-  hand.Join(a);
-  hand.Join(b);
-  hand.number += 1'000'000;
-  hand.Say(MessageKind::kGossip, a);  // forged
-  hand.number -= 1'000'000;
-  std::uint64_t before = hand.view.counters().replayed;
-  hand.Say(MessageKind::kGossip, a);
-  CHECK(hand.view.counters().replayed == before + 1);
-  hand.Pass(5 * kSecond, {a, b});  // its answers count
-  CHECK(hand.StateOf("a") == MemberState::kAlive);
-  before = hand.view.counters().replayed;
-  hand.Say(MessageKind::kGossip, a);
-  CHECK(hand.view.counters().replayed == before);
+TEST_CASE("forged high numbers block a member only until it answers a probe") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b");
+  test.Join(a);
+  test.Join(b);
+  test.number += 1'000'000;
+  test.Say(MessageKind::kGossip, a);  // forged
+  test.number -= 1'000'000;
+  std::uint64_t before = test.view.counters().replayed;
+  test.Say(MessageKind::kGossip, a);
+  CHECK(test.view.counters().replayed == before + 1);
+  test.Pass(5 * kSecond, {a, b});  // own answers are accepted
+  CHECK(test.StateOf("a") == MemberState::kAlive);
+  before = test.view.counters().replayed;
+  test.Say(MessageKind::kGossip, a);
+  CHECK(test.view.counters().replayed == before);
 }
 
-TEST_CASE("a process that stood still blames itself, not the others") {
-  Hand hand;
-  std::vector<MemberRecord> all = {Hand::Of("a"), Hand::Of("b"), Hand::Of("c")};
-  for (const MemberRecord& r : all) hand.Join(r);
-  hand.Pass(3 * kSecond, all);
-  hand.Collect(hand.view.Tick(
-      hand.now + Membership::kTickInterval));  // questions are out, and nobody can hear the answers
-  hand.now += 30 * kSecond;
-  hand.Tick();
-  CHECK(hand.view.counters().pauses == 1);
-  hand.Pass(5 * kSecond, all);
-  CHECK(hand.view.counters().deaths == 0);
-  for (const MemberRecord& r : all) CHECK(hand.StateOf(r.name) != MemberState::kDead);
+TEST_CASE("a process that was paused does not suspect the others") {
+  TestMembership test;
+  std::vector<MemberRecord> all = {TestMembership::Of("a"), TestMembership::Of("b"), TestMembership::Of("c")};
+  for (const MemberRecord& r : all) test.Join(r);
+  test.Pass(3 * kSecond, all);
+  test.Collect(test.view.Tick(
+      test.now + Membership::kTickInterval));  // probes are in progress, and their answers cannot be received
+  test.now += 30 * kSecond;
+  test.Tick();
+  CHECK(test.view.counters().pauses == 1);
+  test.Pass(5 * kSecond, all);
+  CHECK(test.view.counters().deaths == 0);
+  for (const MemberRecord& r : all) CHECK(test.StateOf(r.name) != MemberState::kDead);
 }
 
-TEST_CASE("a leave counts by one's own word at once, and by another's only if the one is silent") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b"), c = Hand::Of("c");
-  for (const MemberRecord& r : {a, b, c}) hand.Join(r);
-  hand.Say(MessageKind::kGossip, a, {Claimed(b, MemberState::kLeft)});
-  hand.Pass(2 * kSecond, {a, b, c});
-  CHECK(hand.StateOf("b") == MemberState::kAlive);
-  hand.Say(MessageKind::kGossip, a, {Claimed(c, MemberState::kLeft)});
-  hand.Pass(2 * kSecond, {a, b});
-  CHECK(hand.StateOf("c") == MemberState::kLeft);
+TEST_CASE("a member's own leave counts immediately, and a claim by another only if it is silent") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b"), c = TestMembership::Of("c");
+  for (const MemberRecord& r : {a, b, c}) test.Join(r);
+  test.Say(MessageKind::kGossip, a, {Claimed(b, MemberState::kLeft)});
+  test.Pass(2 * kSecond, {a, b, c});
+  CHECK(test.StateOf("b") == MemberState::kAlive);
+  test.Say(MessageKind::kGossip, a, {Claimed(c, MemberState::kLeft)});
+  test.Pass(2 * kSecond, {a, b});
+  CHECK(test.StateOf("c") == MemberState::kLeft);
   MemberRecord leaving = b;
   leaving.state = MemberState::kLeft;
   leaving.incarnation = 1;
-  hand.Say(MessageKind::kGossip, leaving);
-  CHECK(hand.StateOf("b") == MemberState::kLeft);
+  test.Say(MessageKind::kGossip, leaving);
+  CHECK(test.StateOf("b") == MemberState::kLeft);
 }
 
-TEST_CASE("who has just come takes its name over; who was there gives it up once the other is proved") {
-  Hand hand;  // started at boot 100, less than three seconds ago
-  MemberRecord a = Hand::Of("a");
-  hand.Join(a);
-  MemberRecord twin = Hand::Of("self", 200);
-  hand.Say(MessageKind::kGossip, a, {twin});
-  CHECK(hand.view.self().boot == 201);
-  hand.Pass(10 * kSecond, {a});
-  twin.boot = 300;
-  hand.Say(MessageKind::kGossip, a, {twin});
-  hand.Pass(4 * kSecond, {a});
-  CHECK_FALSE(hand.view.displaced());  // hearsay alone
-  hand.Say(MessageKind::kGossip, a, {twin});
-  hand.Pass(4 * kSecond, {a, twin});
-  CHECK(hand.view.displaced());
-  CHECK(hand.view.living() == 0);
-  hand.Pass(60 * kSecond, {a, twin});  // nothing flaps while both live
-  CHECK(hand.view.displaced());
-  hand.Pass(25 * kSecond);  // the twin is silent: the name is free
-  CHECK_FALSE(hand.view.displaced());
-  CHECK(hand.view.self().boot == 301);
+TEST_CASE("a new process takes over its name; the earlier one gives it up after verification") {
+  TestMembership test;  // started with boot 100, less than three seconds ago
+  MemberRecord a = TestMembership::Of("a");
+  test.Join(a);
+  MemberRecord other_process = TestMembership::Of("self", 200);
+  test.Say(MessageKind::kGossip, a, {other_process});
+  CHECK(test.view.self().boot == 201);
+  test.Pass(10 * kSecond, {a});
+  other_process.boot = 300;
+  test.Say(MessageKind::kGossip, a, {other_process});
+  test.Pass(4 * kSecond, {a});
+  CHECK_FALSE(test.view.displaced());  // gossip alone
+  test.Say(MessageKind::kGossip, a, {other_process});
+  test.Pass(4 * kSecond, {a, other_process});
+  CHECK(test.view.displaced());
+  CHECK(test.view.living() == 0);
+  test.Pass(60 * kSecond, {a, other_process});  // no flapping while both are alive
+  CHECK(test.view.displaced());
+  test.Pass(25 * kSecond);  // the other process is silent: the name is free
+  CHECK_FALSE(test.view.displaced());
+  CHECK(test.view.self().boot == 301);
 }
 
 TEST_CASE("tables and datagrams stay within their bounds under a flood of claims") {
-  Hand hand;
+  TestMembership test;
   std::vector<MemberRecord> all;
   for (int i = 0; i < 40; ++i) {
-    all.push_back(Hand::Of("m" + std::to_string(i)));
-    hand.Join(all.back());
+    all.push_back(TestMembership::Of("m" + std::to_string(i)));
+    test.Join(all.back());
   }
   for (int i = 0; i < 20'000; ++i) {
-    hand.Say(MessageKind::kGossip, all[0],
-             {Hand::Of("phantom" + std::to_string(i)),
+    test.Say(MessageKind::kGossip, all[0],
+             {TestMembership::Of("phantom" + std::to_string(i)),
               Claimed(all[static_cast<std::size_t>(1 + i % 39)], MemberState::kSuspect, "m0")});
-    if (i % 500 == 0) hand.Pass(Membership::kTickInterval, all);
+    if (i % 500 == 0) test.Pass(Membership::kTickInterval, all);
   }
-  hand.Pass(2 * kSecond, all);
-  CHECK(hand.view.members().size() == 40);
-  CHECK(hand.view.open_probes() <= 1024);
-  CHECK(hand.view.pending_updates() <= 40 * 5);
-  CHECK(hand.view.events().size() <= 1024);
-  for (const Outgoing& o : hand.datagrams) {
+  test.Pass(2 * kSecond, all);
+  CHECK(test.view.members().size() == 40);
+  CHECK(test.view.open_probes() <= 1024);
+  CHECK(test.view.pending_updates() <= 40 * 5);
+  CHECK(test.view.events().size() <= 1024);
+  for (const Outgoing& o : test.datagrams) {
     if (!o.over_stream) CHECK(EncodedSizeBound(o.message) <= 1400);
   }
 }
 
-TEST_CASE("a datagram full of news to a member with a long name keeps its bound") {
-  Hand hand;
+TEST_CASE("a datagram full of updates to a member with a long name stays within its bound") {
+  TestMembership test;
   std::vector<MemberRecord> all;
   for (int i = 0; i < 30; ++i) {
-    all.push_back(Hand::Of(std::to_string(i) + std::string(60, 'n')));
-    hand.Join(all.back());
+    all.push_back(TestMembership::Of(std::to_string(i) + std::string(60, 'n')));
+    test.Join(all.back());
   }
-  // Each accuses once, so that each is believed.
+  // Each accuses once, so that each accusation is accepted.
   for (std::size_t i = 0; i < all.size(); ++i) {
-    hand.Say(MessageKind::kGossip, all[i],
+    test.Say(MessageKind::kGossip, all[i],
              {Claimed(all[(i + 1) % all.size()], MemberState::kSuspect, all[i].name)});
   }
-  hand.Pass(2 * kSecond, all);
-  for (const Outgoing& o : hand.datagrams) {
+  test.Pass(2 * kSecond, all);
+  for (const Outgoing& o : test.datagrams) {
     if (!o.over_stream) CHECK(EncodedSizeBound(o.message) <= 1400);
   }
 }
 
-TEST_CASE("an operator's word lets a dead one rest, and only a dead one") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b");
-  hand.Join(a);
-  hand.Join(b);
-  CHECK_FALSE(hand.view.ForceRemove(hand.now, "b"));
-  CHECK_FALSE(hand.view.ForceRemove(hand.now, "nobody"));
-  hand.Pass(15 * kSecond, {a});
-  REQUIRE(hand.StateOf("b") == MemberState::kDead);
-  CHECK(hand.view.ForceRemove(hand.now, "b"));
-  CHECK(hand.StateOf("b") == MemberState::kLeft);
+TEST_CASE("an operator can remove dead members, and only those") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b");
+  test.Join(a);
+  test.Join(b);
+  CHECK_FALSE(test.view.ForceRemove(test.now, "b"));
+  CHECK_FALSE(test.view.ForceRemove(test.now, "nobody"));
+  test.Pass(15 * kSecond, {a});
+  REQUIRE(test.StateOf("b") == MemberState::kDead);
+  CHECK(test.view.ForceRemove(test.now, "b"));
+  CHECK(test.StateOf("b") == MemberState::kLeft);
 }
 
-TEST_CASE("news that others tell as well is told less; one who repeats it silences nothing") {
+TEST_CASE("updates that others send too are sent less often; a single repeating member suppresses nothing") {
   auto told = [](int tellers, int times) {
-    Hand hand;
+    TestMembership test;
     std::vector<MemberRecord> all;
     for (int i = 0; i < 40; ++i) {
-      all.push_back(Hand::Of("m" + std::to_string(i)));
-      hand.Join(all.back());
+      all.push_back(TestMembership::Of("m" + std::to_string(i)));
+      test.Join(all.back());
     }
-    hand.Pass(60 * kSecond, all);
-    REQUIRE(hand.view.pending_updates() == 0);
+    test.Pass(60 * kSecond, all);
+    REQUIRE(test.view.pending_updates() == 0);
     MemberRecord fresh = all[39];
     fresh.incarnation = 1;
-    hand.Say(MessageKind::kGossip, all[0], {fresh});
-    REQUIRE(hand.view.pending_updates() == 1);
+    test.Say(MessageKind::kGossip, all[0], {fresh});
+    REQUIRE(test.view.pending_updates() == 1);
     for (int t = 0; t < times; ++t) {
       for (int i = 0; i < tellers; ++i)
-        hand.Say(MessageKind::kGossip, all[static_cast<std::size_t>(i)], {fresh});
+        test.Say(MessageKind::kGossip, all[static_cast<std::size_t>(i)], {fresh});
     }
-    hand.datagrams.clear();
-    hand.Pass(20 * kSecond, all);
-    return std::count_if(hand.datagrams.begin(), hand.datagrams.end(), [&](const Outgoing& o) {
+    test.datagrams.clear();
+    test.Pass(20 * kSecond, all);
+    return std::count_if(test.datagrams.begin(), test.datagrams.end(), [&](const Outgoing& o) {
       return std::any_of(o.message.updates.begin(), o.message.updates.end(),
                          [&](const MemberRecord& r) { return r.name == fresh.name && r.incarnation == 1; });
     });
@@ -383,92 +383,93 @@
   CHECK(told(16, 1) < alone - 8);
 }
 
-TEST_CASE("a question is asked again while no answer comes, and a loss does not pass for a delay") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a");
-  hand.Join(a);
-  // Only the last repetition of each question is answered, at once.
+TEST_CASE("pings are repeated until answered, and a loss does not count as a delay") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a");
+  test.Join(a);
+  // Only the last repetition of each ping is answered, immediately.
   std::map<std::uint64_t, int> asked;
   int most = 0;
-  for (TimePoint end = hand.now + 30 * kSecond; hand.now < end;) {
-    hand.now += Membership::kTickInterval;
-    hand.Tick();
+  for (TimePoint end = test.now + 30 * kSecond; test.now < end;) {
+    test.now += Membership::kTickInterval;
+    test.Tick();
     std::vector<Outgoing> out;
-    std::swap(out, hand.out);
+    std::swap(out, test.out);
     for (const Outgoing& one : out) {
       if (one.message.kind != MessageKind::kPing || one.address != a.address) continue;
       int times = ++asked[one.message.sequence & ~7ULL];
       most = std::max(most, times);
-      if (times == 5) hand.Say(MessageKind::kAck, a, {}, one.message.sequence);
+      if (times == 5) test.Say(MessageKind::kAck, a, {}, one.message.sequence);
     }
   }
   CHECK(most == 5);
-  CHECK(hand.StateOf("a") == MemberState::kAlive);
-  // Questions still come as often as to one that answers the first: the wait has not grown.
+  CHECK(test.StateOf("a") == MemberState::kAlive);
+  // Pings are as frequent as for a member that answers the first one: the timeout has not grown.
   CHECK(asked.size() >= 55);
 }
 
-TEST_CASE("who hears of a suspicion looks itself, at once, while few are there to confirm it") {
-  Hand hand;
+TEST_CASE("a member that learns of a suspicion probes the suspect immediately if few others can confirm it") {
+  TestMembership test;
   std::vector<MemberRecord> all;
   for (int i = 0; i < 5; ++i) {
-    all.push_back(Hand::Of("m" + std::to_string(i)));
-    hand.Join(all.back());
+    all.push_back(TestMembership::Of("m" + std::to_string(i)));
+    test.Join(all.back());
   }
-  hand.Pass(5 * kSecond, all);
-  hand.datagrams.clear();
-  hand.Say(MessageKind::kGossip, all[0], {Claimed(all[4], MemberState::kSuspect, "m1")});
-  hand.Pass(Membership::kTickInterval, all);
-  CHECK(std::any_of(hand.datagrams.begin(), hand.datagrams.end(), [&](const Outgoing& o) {
+  test.Pass(5 * kSecond, all);
+  test.datagrams.clear();
+  test.Say(MessageKind::kGossip, all[0], {Claimed(all[4], MemberState::kSuspect, "m1")});
+  test.Pass(Membership::kTickInterval, all);
+  CHECK(std::any_of(test.datagrams.begin(), test.datagrams.end(), [&](const Outgoing& o) {
     return o.address == all[4].address && o.message.kind == MessageKind::kPing;
   }));
 }
 
-TEST_CASE("who stood still with a question open does not take the answer's lateness for a death") {
-  Hand hand;
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b");
-  hand.Join(a);
-  hand.Join(b);
-  hand.Pass(5 * kSecond, {a, b});
+TEST_CASE("a process paused during a probe does not count the late answer as a death") {
+  TestMembership test;
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b");
+  test.Join(a);
+  test.Join(b);
+  test.Pass(5 * kSecond, {a, b});
   std::uint64_t open = 0;
   const MemberRecord* whom = nullptr;
   while (open == 0) {
-    hand.now += Membership::kTickInterval;
-    hand.Tick();
-    for (const Outgoing& one : std::exchange(hand.out, {})) {
+    test.now += Membership::kTickInterval;
+    test.Tick();
+    for (const Outgoing& one : std::exchange(test.out, {})) {
       if (one.message.kind != MessageKind::kPing) continue;
       open = one.message.sequence;
       whom = one.address == a.address ? &a : &b;
     }
   }
-  hand.now += 30 * kSecond;
-  hand.Tick();
-  hand.Say(MessageKind::kAck, *whom, {}, open);
-  hand.Pass(5 * kSecond, {a, b});
-  for (const Event& event : hand.view.events()) CHECK(event.kind != EventKind::kSuspected);
+  test.now += 30 * kSecond;
+  test.Tick();
+  test.Say(MessageKind::kAck, *whom, {}, open);
+  test.Pass(5 * kSecond, {a, b});
+  for (const Event& event : test.view.events()) CHECK(event.kind != EventKind::kSuspected);
 }
 
 TEST_CASE(
     "a start that finds the wall clock behind outdoes its own dead past; one voice doesn't raise it for "
     "ever") {
-  MemberRecord a = Hand::Of("a"), b = Hand::Of("b"), past = Hand::Of("self", 5000);
+  MemberRecord a = TestMembership::Of("a"), b = TestMembership::Of("b"),
+               past = TestMembership::Of("self", 5000);
   past.state = MemberState::kDead;
   for (bool own_address : {true, false}) {
-    Hand hand;
-    hand.Join(a);
-    hand.Join(b);
-    hand.Pass(10 * kSecond, {a, b});
-    if (own_address) past.address = hand.view.self().address;
-    hand.Say(MessageKind::kGossip, a, {past});
-    hand.Say(MessageKind::kGossip, a, {past});
-    CHECK(hand.view.self().boot == (own_address ? 5001 : 100));
-    hand.Say(MessageKind::kGossip, b, {past});
-    CHECK(hand.view.self().boot == 5001);
+    TestMembership test;
+    test.Join(a);
+    test.Join(b);
+    test.Pass(10 * kSecond, {a, b});
+    if (own_address) past.address = test.view.self().address;
+    test.Say(MessageKind::kGossip, a, {past});
+    test.Say(MessageKind::kGossip, a, {past});
+    CHECK(test.view.self().boot == (own_address ? 5001 : 100));
+    test.Say(MessageKind::kGossip, b, {past});
+    CHECK(test.view.self().boot == 5001);
     past.boot = (1ULL << 62) - 1;
-    hand.Say(MessageKind::kGossip, a, {past});
-    hand.Say(MessageKind::kGossip, b, {past});
-    CHECK(hand.view.self().boot == 5001);
-    past = Hand::Of("self", 5000);
+    test.Say(MessageKind::kGossip, a, {past});
+    test.Say(MessageKind::kGossip, b, {past});
+    CHECK(test.view.self().boot == 5001);
+    past = TestMembership::Of("self", 5000);
     past.state = MemberState::kDead;
   }
 }
@@ -485,7 +486,7 @@
   return {};
 }
 
-TEST_CASE("views settle after random faults, from many seeds") {
+TEST_CASE("member tables converge after random faults, for many seeds") {
   CHECK(FirstFailure({}, 1, 40) == "");
   lab::Trial small;
   small.members = 3;
@@ -493,8 +494,8 @@
   CHECK(FirstFailure(small, 1, 40) == "");
 }
 
-// Two halves apart, then together again, the seeds long forgotten: why they don't agree 20 s later, or
-// nothing.
+// Two halves are partitioned and reconnected, with unusable seeds. Returns why they differ 20 s later, or an
+// empty text.
 std::string Halves(const TestFaults& faults, Duration apart) {
   lab::World world(5, 4, {}, {}, faults);
   for (int i = 0; i < world.size(); ++i) world.Start(i);
@@ -511,7 +512,7 @@
   return why;
 }
 
-TEST_CASE("a planted flaw is found, and its seed replays") {
+TEST_CASE("a planted bug is detected, and its seed replays") {
   lab::Trial no_refute, forever;
   no_refute.planted.never_refute = true;
   forever.planted.never_retire_updates = true;
@@ -526,7 +527,7 @@
   CHECK(Halves({}, 60 * kSecond) == "");
 }
 
-TEST_CASE("without a cause nobody dies: no loss, and a fifth of all datagrams lost") {
+TEST_CASE("no member is declared dead without a fault, without loss and with a fifth of all datagrams lost") {
   for (double loss : {0.0, 0.2}) {
     lab::Network network;
     network.loss = loss;
@@ -543,7 +544,7 @@
   }
 }
 
-TEST_CASE("two halves that were apart for a day settle without an operator and without seeds") {
+TEST_CASE("two halves that were partitioned for a day converge without an operator and without seeds") {
   CHECK(Halves({}, 24 * 3600 * kSecond) == "");
 }
 
--- a/tests/net/answer_delivery_test.cpp
+++ b/tests/net/answer_delivery_test.cpp
@@ -26,13 +26,13 @@
   fixture.listener.Inherit(::dup(host.fd()));
 }
 
-bool IsWhole(const TestConnection& client, std::string_view body) {
+bool IsComplete(const TestConnection& client, std::string_view body) {
   return client.text.find(body) != std::string::npos;
 }
 
 // Reads a piece of the response every `pause` until it is complete or the connection is closed. Returns how
 // long that took.
-Micros TakeSteadily(ProxyFixture& fixture, TestConnection& client, std::string_view body, Micros pause) {
+Micros ReadSteadily(ProxyFixture& fixture, TestConnection& client, std::string_view body, Micros pause) {
   Micros began = fixture.loop.Now();
   Micros next = began;
   fixture.WaitUntil("the response is complete or truncated", [&] {
@@ -40,7 +40,7 @@
       client.Receive(kPiece);
       next = fixture.loop.Now() + pause;
     }
-    return client.closed || IsWhole(client, body);
+    return client.closed || IsComplete(client, body);
   });
   return fixture.loop.Now() - began;
 }
@@ -50,23 +50,23 @@
 // If the write timeout ran from the start of writing, the proxy would truncate the response. The client never
 // pauses for as long as the timeout, but takes far longer in total.
 TEST_CASE("a client that reads slowly but steadily gets the complete response") {
-  constexpr Micros kWriteFor = 1'000 * kMs;
-  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kWriteFor);
+  constexpr Micros kWriteTimeout = 1'000 * kMs;
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kWriteTimeout);
   ServeThroughSmallBuffers(fixture);
   TestServer server;
   fixture.SetEndpoints({&server});
   TestConnection client = TestConnection::Connect(fixture.listener.port(), kSmallBuffer);
   client.Send(SafeRequest("a1"));
   fixture.WaitForRequest(server, "a1").Send(Response(200, LongBody()));
-  Micros took = TakeSteadily(fixture, client, LongBody(), kWriteFor / 8);
-  CHECK(IsWhole(client, LongBody()));
-  CHECK(took > kWriteFor);  // otherwise the test would prove nothing
+  Micros took = ReadSteadily(fixture, client, LongBody(), kWriteTimeout / 8);
+  CHECK(IsComplete(client, LongBody()));
+  CHECK(took > kWriteTimeout);  // otherwise the test would prove nothing
 }
 
 // Otherwise such a client would hold a connection forever.
 TEST_CASE("a client that reads nothing is disconnected, and can detect it") {
-  constexpr Micros kWriteFor = 100 * kMs;
-  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kWriteFor);
+  constexpr Micros kWriteTimeout = 100 * kMs;
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kWriteTimeout);
   ServeThroughSmallBuffers(fixture);
   TestServer server;
   fixture.SetEndpoints({&server});
@@ -76,20 +76,20 @@
   fixture.WaitUntil("the connection is closed", [&] { return fixture.listener.connections() == 0; });
   fixture.WaitUntil("the client has noticed the close", [&] { return client.IsClosed(); });
   CHECK(client.HasReceived("Content-Length: " + std::to_string(LongBody().size()) + "\r\n"));
-  CHECK_FALSE(IsWhole(client, LongBody()));
+  CHECK_FALSE(IsComplete(client, LongBody()));
 }
 
 // The proxy has written the whole response and its kernel still holds most of it. If the connection were
 // closed by the linger or idle timeout, the client's next bytes would cause a reset and the rest would be
 // lost.
 TEST_CASE("a response in the kernel's buffer is not lost when the client sends data meanwhile") {
-  constexpr Micros kLingerFor = 600 * kMs;
-  constexpr Micros kIdleFor = 2'100 * kMs;  // of the listener
+  constexpr Micros kLingerTimeout = 600 * kMs;
+  constexpr Micros kIdleTimeout = 2'100 * kMs;  // of the listener
   bool last = false;
   SUBCASE("the last response on a connection") { last = true; }
   SUBCASE("a response on a connection that stays open") { last = false; }
-  const Micros ends_after = last ? kLingerFor : kIdleFor;
-  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kBound, kLingerFor);
+  const Micros ends_after = last ? kLingerTimeout : kIdleTimeout;
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, 64, false, kBound, kLingerTimeout);
   TestServer server;
   fixture.SetEndpoints({&server});
   TestConnection client = TestConnection::Connect(fixture.listener.port(), kSmallBuffer);
@@ -97,7 +97,7 @@
   TestConnection& at = fixture.WaitForRequest(server, "a1");
   if (last) fixture.listener.Drain(fixture.loop.Now() + kBound);
   at.Send(Response(200, LongBody()));
-  const Micros says_at = fixture.loop.Now() + ends_after + ends_after / 4;
+  const Micros sends_at = fixture.loop.Now() + ends_after + ends_after / 4;
   bool log = false;
   Micros next = 0;
   fixture.WaitUntil("the response is complete or truncated", [&] {
@@ -106,15 +106,15 @@
       client.Receive(kPiece);
       next = now + (log ? 0 : ends_after / 8);
     }
-    if (!log && now >= says_at) {
-      CHECK_FALSE(IsWhole(client, LongBody()));
+    if (!log && now >= sends_at) {
+      CHECK_FALSE(IsComplete(client, LongBody()));
       client.Send("GET /up HTTP/1.1\r\n\r\n");
       log = true;
     }
-    return client.closed || IsWhole(client, LongBody());
+    return client.closed || IsComplete(client, LongBody());
   });
   CHECK(log);
-  CHECK(IsWhole(client, LongBody()));
+  CHECK(IsComplete(client, LongBody()));
   CHECK(client.HasReceived("Connection: close\r\n") == last);
   if (!last) return fixture.WaitForData(client, "\r\n\r\nup");
   fixture.WaitUntil("the connection is closed after the client has everything",
@@ -126,28 +126,30 @@
 // The partial response is useless, and a retry is not permitted or there is no time for it. The request must
 // still end in one response by its deadline.
 TEST_CASE("a truncated response without length ends in one final response if no retry is possible") {
-  enum class Why { kUnsafe, kNoMoreAttempts, kNextIsSilent, kPastDeadline };
+  enum class NoRetryReason { kUnsafe, kNoMoreAttempts, kNextIsSilent, kPastDeadline };
   constexpr int kWithin = 1'000;  // milliseconds
-  for (Why why : {Why::kUnsafe, Why::kNoMoreAttempts, Why::kNextIsSilent, Why::kPastDeadline}) {
+  for (NoRetryReason why : {NoRetryReason::kUnsafe, NoRetryReason::kNoMoreAttempts,
+                            NoRetryReason::kNextIsSilent, NoRetryReason::kPastDeadline}) {
     CAPTURE(static_cast<int>(why));
-    bool at_once = why == Why::kUnsafe || why == Why::kNoMoreAttempts;
+    bool at_once = why == NoRetryReason::kUnsafe || why == NoRetryReason::kNoMoreAttempts;
     balancer::Settings settings = TestSettings();
-    if (why == Why::kNoMoreAttempts) settings.max_attempts = 1;
+    if (why == NoRetryReason::kNoMoreAttempts) settings.max_attempts = 1;
     ProxyFixture fixture(settings);
     TestServer server, other;
     fixture.SetEndpoints({&server});
     TestConnection client = fixture.ConnectClient();
-    client.Send(why == Why::kUnsafe ? UnsafeRequest("a1")
-                : at_once           ? SafeRequest("a1")
-                                    : SafeRequestWithTimeout("a1", kWithin));
+    client.Send(why == NoRetryReason::kUnsafe ? UnsafeRequest("a1")
+                : at_once                     ? SafeRequest("a1")
+                                              : SafeRequestWithTimeout("a1", kWithin));
     TestConnection& at = fixture.WaitForRequest(server, "a1");
     fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
     at.Send("HTTP/1.1 200 OK\r\n\r\nmade so far");
     at.Reset();
     Micros cut = fixture.loop.Now();
-    if (why == Why::kNextIsSilent) fixture.WaitForRequest(other, "a1");
+    if (why == NoRetryReason::kNextIsSilent) fixture.WaitForRequest(other, "a1");
     // The reset and the deadline are processed in the same round.
-    while (why == Why::kPastDeadline && fixture.loop.Now() < cut + kWithin * kMs) ::poll(nullptr, 0, 1);
+    while (why == NoRetryReason::kPastDeadline && fixture.loop.Now() < cut + kWithin * kMs)
+      ::poll(nullptr, 0, 1);
     fixture.WaitForData(client, "\r\n\r\n");
     if (at_once) CHECK(fixture.loop.Now() < cut + 5'000 * kMs);  // its deadline is 15 s away
     CheckSettled(fixture);
@@ -155,7 +157,7 @@
     CHECK(final);
     CHECK(client.text.find("HTTP/1.1 ", 9) == std::string::npos);
     CHECK_FALSE(client.HasReceived("made"));
-    if (why != Why::kNextIsSilent) CHECK_FALSE(other.Accept());
+    if (why != NoRetryReason::kNextIsSilent) CHECK_FALSE(other.Accept());
   }
 }
 
@@ -163,8 +165,8 @@
 // too late. It is long here, so that the load of the machine does not matter.
 TEST_CASE("the failure of an unsafe request whose attempt hangs is sent in time") {
   constexpr int kWithin = 1'000;  // milliseconds
-  for (bool begun : {false, true}) {
-    CAPTURE(begun);
+  for (bool partial_response : {false, true}) {
+    CAPTURE(partial_response);
     balancer::Settings settings = TestSettings();
     settings.clock_step = 500 * kMs;
     ProxyFixture fixture(settings);
@@ -175,7 +177,7 @@
     Micros deadline = fixture.loop.Now() + kWithin * kMs;
     TestConnection& at = fixture.WaitForRequest(server, "a1");
     fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
-    if (begun) at.Send("HTTP/1.1 200 OK\r\n\r\nmade so far");
+    if (partial_response) at.Send("HTTP/1.1 200 OK\r\n\r\nmade so far");
     fixture.WaitForData(client, "HTTP/1.1 502 ");
     CHECK(fixture.loop.Now() < deadline);
     CHECK_FALSE(client.HasReceived("made"));
@@ -189,15 +191,15 @@
 // A complete pipelined request has been accepted. A response with Connection: close would leave it
 // unanswered.
 TEST_CASE("a complete pipelined request is answered before the connection ends") {
-  enum class Ends { kDrain, kLameDuck, kNoPlace };
-  Ends how = Ends::kDrain;
-  SUBCASE("the process shuts down") { how = Ends::kDrain; }
-  SUBCASE("lame-duck mode") { how = Ends::kLameDuck; }
-  SUBCASE("all connection slots are in use") { how = Ends::kNoPlace; }
+  enum class CloseReason { kDrain, kLameDuck, kNoSlot };
+  CloseReason how = CloseReason::kDrain;
+  SUBCASE("the process shuts down") { how = CloseReason::kDrain; }
+  SUBCASE("lame-duck mode") { how = CloseReason::kLameDuck; }
+  SUBCASE("all connection slots are in use") { how = CloseReason::kNoSlot; }
   // The proxy has either read it before the previous response, or it is only in the kernel.
   for (bool read : {true, false}) {
     CAPTURE(read);
-    ProxyFixture fixture(TestSettings(), kBound, 64, 8, how == Ends::kNoPlace ? 1 : 64);
+    ProxyFixture fixture(TestSettings(), kBound, 64, 8, how == CloseReason::kNoSlot ? 1 : 64);
     TestServer server;
     fixture.SetEndpoints({&server});
     TestConnection busy = fixture.ConnectClient();
@@ -206,8 +208,8 @@
     TestConnection client = fixture.ConnectClient();
     client.Send(SafeRequest("a1") + (read ? SafeRequest("a2") : ""));
     TestConnection& at = fixture.WaitForRequest(server, "a1");
-    if (how == Ends::kDrain) fixture.listener.Drain(fixture.loop.Now() + kBound);
-    if (how == Ends::kLameDuck) fixture.listener.SetLameDuck(true);
+    if (how == CloseReason::kDrain) fixture.listener.Drain(fixture.loop.Now() + kBound);
+    if (how == CloseReason::kLameDuck) fixture.listener.SetLameDuck(true);
     at.Send(Response(200, "one"));
     if (!read) client.Send(SafeRequest("a2"));  // noticed after the response
     fixture.WaitForRequest(server, "a2").Send(Response(200, "two"));
@@ -254,7 +256,7 @@
 
 void UntilUp(ProxyFixture& fixture, Program& program) {
   fixture.WaitUntil("the program is running",
-                    [&] { return program.ReadLog().find("workers known\n") != std::string::npos; });
+                    [&] { return program.ReadLog().find("servers known\n") != std::string::npos; });
 }
 
 // The platform kills the process 3.7 s after the signal, regardless of open requests. The bound is larger for
--- a/tests/net/late_bytes_test.cpp
+++ b/tests/net/late_bytes_test.cpp
@@ -15,12 +15,12 @@
 const std::string kLastBytes = "the last bytes";
 const std::string kLargeBody = std::string(60'000, 'x') + kLastBytes;
 
-void Buffer(int fd, int which, int bytes) {
+void SetBufferSize(int fd, int which, int bytes) {
   REQUIRE(::setsockopt(fd, SOL_SOCKET, which, &bytes, sizeof bytes) == 0);
 }
 
 // The proxy runs in the test's process: finds its end of its only connection to a server.
-int ProxysEnd(const TestServer& host) {
+int FindProxySocket(const TestServer& host) {
   int found = -1;
   for (int fd = 0; fd < 1024; ++fd) {
     sockaddr_in to{};
@@ -131,7 +131,7 @@
          std::to_string(kLargeBody.size()) + "\r\n\r\n" + kLargeBody;
 }
 
-void Pour(ProxyFixture& fixture, TestConnection& client, std::string_view bytes) {
+void SendAll(ProxyFixture& fixture, TestConnection& client, std::string_view bytes) {
   fixture.WaitUntil("everything is sent", [&] {
     bytes.remove_prefix(client.TrySend(bytes));
     return bytes.empty();
@@ -140,11 +140,11 @@
 
 // A keyed request that failed at one server and is retried at a second one, which does not read. `room` is
 // the send buffer of the connection to the second server.
-struct Repeat {
-  explicit Repeat(int room) : fixture(RulesWithWindow()), client(fixture.ConnectClient()) {
-    Buffer(second.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
+struct KeyedRetry {
+  explicit KeyedRetry(int buffer_size) : fixture(RulesWithWindow()), client(fixture.ConnectClient()) {
+    SetBufferSize(second.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
     fixture.SetEndpoints({&first});
-    Pour(fixture, client, LargeOpen("a1"));
+    SendAll(fixture, client, LargeOpen("a1"));
     TestConnection& at = fixture.WaitForRequest(first, "a1");
     sent_by = fixture.loop.Now();
     fixture.WaitForData(at, kLastBytes);
@@ -153,17 +153,17 @@
     at.Send(Response(500));  // it may have run
     fixture.WaitUntil("the retry is connecting", [&] { return fixture.upstream_pool.connections() == 2; });
     WaitWithoutLoop("the connection is established", [&] { return second.Accept(); });
-    proxys_end = ProxysEnd(second);
-    Buffer(proxys_end, SO_SNDBUF, room);
-    fixture.WaitUntil("as much as possible is written", [&] { return Unsent(proxys_end) > 0; });
+    proxy_socket = FindProxySocket(second);
+    SetBufferSize(proxy_socket, SO_SNDBUF, buffer_size);
+    fixture.WaitUntil("as much as possible is written", [&] { return Unsent(proxy_socket) > 0; });
     REQUIRE(fixture.loop.Now() < sent_by + kWindow);
   }
   TestConnection& server() { return second.connections[0]; }
   // The server reads and the send buffer is enlarged for the rest, while the event loop does not run.
   void ReadAndEnlargeBuffer() {
-    Buffer(proxys_end, SO_SNDBUF, kLargeBuffer);
+    SetBufferSize(proxy_socket, SO_SNDBUF, kLargeBuffer);
     WaitWithoutLoop("the data in the kernel is read",
-                    [&] { return server().Received(), Unsent(proxys_end) == 0; });
+                    [&] { return server().Received(), Unsent(proxy_socket) == 0; });
     REQUIRE_FALSE(server().HasReceived(kLastBytes));
   }
   static balancer::Settings RulesWithWindow() {
@@ -177,7 +177,7 @@
   TestServer first, second;
   TestConnection client;
   Micros sent_by = 0;  // latest send time of the first attempt
-  int proxys_end = -1;
+  int proxy_socket = -1;
 };
 
 // After a stall, the process handles the writable event before the write timeout. If it wrote the rest, the
@@ -185,53 +185,53 @@
 TEST_CASE(
     "the rest of a retry is not written after the key's lifetime, even if the socket becomes writable "
     "first") {
-  Repeat repeat(kSmallBuffer);
+  KeyedRetry retry(kSmallBuffer);
   WaitWithoutLoop("the key's lifetime is over",
-                  [&] { return repeat.fixture.loop.Now() > repeat.sent_by + Repeat::kWindow; });
-  repeat.ReadAndEnlargeBuffer();
-  repeat.fixture.WaitForData(repeat.client, "HTTP/1.1 502 ");
-  repeat.fixture.WaitUntil("the server sees the close", [&] { return repeat.server().IsClosed(); });
-  CHECK_FALSE(repeat.server().HasReceived(kLastBytes));
-  CheckSettled(repeat.fixture);
+                  [&] { return retry.fixture.loop.Now() > retry.sent_by + KeyedRetry::kWindow; });
+  retry.ReadAndEnlargeBuffer();
+  retry.fixture.WaitForData(retry.client, "HTTP/1.1 502 ");
+  retry.fixture.WaitUntil("the server sees the close", [&] { return retry.server().IsClosed(); });
+  CHECK_FALSE(retry.server().HasReceived(kLastBytes));
+  CheckSettled(retry.fixture);
 }
 
 // The same for a client whose disconnect is in the kernel behind the writable event.
 TEST_CASE(
     "the rest of a request is not written after its client has disconnected, even if the socket is "
     "writable") {
-  Repeat repeat(kSmallBuffer);
-  repeat.ReadAndEnlargeBuffer();
-  repeat.client.Close();
-  repeat.fixture.WaitUntil("the server sees the close", [&] { return repeat.server().IsClosed(); });
-  CHECK_FALSE(repeat.server().HasReceived(kLastBytes));
-  CheckSettled(repeat.fixture);
+  KeyedRetry retry(kSmallBuffer);
+  retry.ReadAndEnlargeBuffer();
+  retry.client.Close();
+  retry.fixture.WaitUntil("the server sees the close", [&] { return retry.server().IsClosed(); });
+  CHECK_FALSE(retry.server().HasReceived(kLastBytes));
+  CheckSettled(retry.fixture);
 }
 
 // A request that the kernel has completely cannot be revoked: it counts as sent, even if the server reads it
 // later, and its response is forwarded.
 TEST_CASE("a retry that is completely in the kernel when the key expires counts as sent and continues") {
-  Repeat repeat(kLargeBuffer);
-  REQUIRE(Unsent(repeat.proxys_end) > kMostlyUnsent);
-  repeat.fixture.WaitUntil("the key's lifetime is over",
-                           [&] { return repeat.fixture.loop.Now() > repeat.sent_by + Repeat::kWindow; });
-  for (int i = 0; i < 3; ++i) repeat.fixture.loop.RunOnce(0);
-  REQUIRE_FALSE(repeat.client.HasReceived("HTTP/1.1 "));
-  repeat.fixture.WaitForData(repeat.server(), kLastBytes);
-  repeat.server().Send(Response(200, "made of the repeat"));
-  repeat.fixture.WaitForData(repeat.client, "made of the repeat");
-  CheckSettled(repeat.fixture);
+  KeyedRetry retry(kLargeBuffer);
+  REQUIRE(Unsent(retry.proxy_socket) > kMostlyUnsent);
+  retry.fixture.WaitUntil("the key's lifetime is over",
+                          [&] { return retry.fixture.loop.Now() > retry.sent_by + KeyedRetry::kWindow; });
+  for (int i = 0; i < 3; ++i) retry.fixture.loop.RunOnce(0);
+  REQUIRE_FALSE(retry.client.HasReceived("HTTP/1.1 "));
+  retry.fixture.WaitForData(retry.server(), kLastBytes);
+  retry.server().Send(Response(200, "made of the repeat"));
+  retry.fixture.WaitForData(retry.client, "made of the repeat");
+  CheckSettled(retry.fixture);
 }
 
 // An attempt is cancelled by closing its connection. The kernel still delivers the data it has: the server
 // receives the complete request, followed by the end of the stream.
 TEST_CASE("a cancelled request that is completely in the kernel is delivered, followed by the close") {
-  Repeat repeat(kLargeBuffer);
-  REQUIRE(Unsent(repeat.proxys_end) > kMostlyUnsent);
-  repeat.client.Close();
-  CheckSettled(repeat.fixture);
-  CHECK(repeat.fixture.upstream_pool.connections() <= 1);  // the one to the first server may still be open
-  repeat.fixture.WaitUntil("the server sees the close", [&] { return repeat.server().IsClosed(); });
-  CHECK(repeat.server().HasReceived(kLastBytes));
+  KeyedRetry retry(kLargeBuffer);
+  REQUIRE(Unsent(retry.proxy_socket) > kMostlyUnsent);
+  retry.client.Close();
+  CheckSettled(retry.fixture);
+  CHECK(retry.fixture.upstream_pool.connections() <= 1);  // the one to the first server may still be open
+  retry.fixture.WaitUntil("the server sees the close", [&] { return retry.server().IsClosed(); });
+  CHECK(retry.server().HasReceived(kLastBytes));
 }
 
 // ---- Second responses ----
@@ -258,10 +258,10 @@
   fixture.SetEndpoints({&server});
   TestConnection client = fixture.ConnectClient();
   TestConnection& at = ServeFirst(fixture, server, client);
-  int proxys_end = ProxysEnd(server);
+  int proxy_socket = FindProxySocket(server);
   if (request_first) client.Send(UnsafeRequest("a2"));
   at.Send(Response(200, "made of the first"));
-  WaitWithoutLoop("the second response is in the kernel", [&] { return Unread(proxys_end) > 0; });
+  WaitWithoutLoop("the second response is in the kernel", [&] { return Unread(proxy_socket) > 0; });
   if (!request_first) client.Send(UnsafeRequest("a2"));
   fixture.WaitForRequest(server, "a2").Send(Response(200, "made of the second"));
   fixture.WaitForData(client, "HTTP/1.1 200 ");
@@ -275,37 +275,37 @@
 TEST_CASE("a second response that is read before the next request has arrived is dropped") {
   const std::string second = Response(200, "made of the first");
   std::size_t early = second.size();  // number of its bytes that are read before the request has arrived
-  int room = kLargeBuffer;
+  int buffer_size = kLargeBuffer;
   bool rest_waits = false;  // the rest of the request is still in the proxy
   SUBCASE("complete, and the request is completely written") {}
   SUBCASE("partial, and the request is completely written") { early = 20; }
   SUBCASE("partial, and the request is partially written") {
     early = 20;
-    room = kSmallBuffer;
+    buffer_size = kSmallBuffer;
   }
   SUBCASE("partial, and the request is partially written and acknowledged") {
     early = 20;
-    room = kSmallBuffer;
+    buffer_size = kSmallBuffer;
     rest_waits = true;
   }
   ProxyFixture fixture;
   TestServer server;
-  Buffer(server.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
+  SetBufferSize(server.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
   fixture.SetEndpoints({&server});
   TestConnection client = fixture.ConnectClient();
   TestConnection& at = ServeFirst(fixture, server, client);
-  int proxys_end = ProxysEnd(server);
-  Buffer(proxys_end, SO_SNDBUF, room);
-  Pour(fixture, client, UnsafeRequest("a2", kLargeBody));
+  int proxy_socket = FindProxySocket(server);
+  SetBufferSize(proxy_socket, SO_SNDBUF, buffer_size);
+  SendAll(fixture, client, UnsafeRequest("a2", kLargeBody));
   fixture.WaitUntil("as much as possible is written",
-                    [&] { return Unsent(proxys_end) > (room == kLargeBuffer ? kMostlyUnsent : 0); });
+                    [&] { return Unsent(proxy_socket) > (buffer_size == kLargeBuffer ? kMostlyUnsent : 0); });
   if (rest_waits) {
-    WaitWithoutLoop("the written data is read", [&] { return at.Received(), Unsent(proxys_end) == 0; });
+    WaitWithoutLoop("the written data is read", [&] { return at.Received(), Unsent(proxy_socket) == 0; });
     REQUIRE(at.text.find(kLastBytes) == std::string::npos);
   }
   at.Send(second.substr(0, early));
-  WaitWithoutLoop("the second response is in the kernel", [&] { return Unread(proxys_end) > 0; });
-  fixture.WaitUntil("the second response is read", [&] { return Unread(proxys_end) == 0; });
+  WaitWithoutLoop("the second response is in the kernel", [&] { return Unread(proxy_socket) > 0; });
+  fixture.WaitUntil("the second response is read", [&] { return Unread(proxy_socket) == 0; });
   for (int i = 0; i < 3; ++i) fixture.loop.RunOnce(0);
   CHECK_FALSE(client.HasReceived("HTTP/1.1 "));
   fixture.WaitForData(at, kLastBytes);
@@ -321,15 +321,16 @@
     "a second response that ends with its stream before the next request has arrived ends the attempt") {
   ProxyFixture fixture;
   TestServer server;
-  Buffer(server.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
+  SetBufferSize(server.fd(), SO_RCVBUF, kSmallBuffer);  // inherited by what it accepts
   fixture.SetEndpoints({&server});
   TestConnection client = fixture.ConnectClient();
   TestConnection& at = ServeFirst(fixture, server, client);
-  int proxys_end = ProxysEnd(server);
-  Buffer(proxys_end, SO_SNDBUF, kLargeBuffer);
+  int proxy_socket = FindProxySocket(server);
+  SetBufferSize(proxy_socket, SO_SNDBUF, kLargeBuffer);
   Micros begun = fixture.loop.Now();
-  Pour(fixture, client, UnsafeRequest("a2", kLargeBody));
-  fixture.WaitUntil("the request is completely written", [&] { return Unsent(proxys_end) > kMostlyUnsent; });
+  SendAll(fixture, client, UnsafeRequest("a2", kLargeBody));
+  fixture.WaitUntil("the request is completely written",
+                    [&] { return Unsent(proxy_socket) > kMostlyUnsent; });
   at.Send("HTTP/1.1 200 OK\r\n\r\nmade of the first");
   at.ShutdownWrite();
   fixture.WaitForData(client, "HTTP/1.1 502 ");      // it may have run
--- a/tests/net/long_body_test.cpp
+++ b/tests/net/long_body_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kLong = 100 * 1024;                         // a long body
 constexpr std::size_t kBeyondUsual = kLong - http::kMaxBodySize;  // its part of the shared memory
 
-ProxyFixture RigWithMemory(std::size_t long_body_memory) {
+ProxyFixture FixtureWithMemory(std::size_t long_body_memory) {
   return ProxyFixture(TestSettings(), kBound, 64, 8, 64, false, kBound, 1'000 * kMs, long_body_memory);
 }
 
@@ -23,11 +23,11 @@
   return body;
 }
 
-void SayAll(ProxyFixture& fixture, TestConnection& connection, const std::string& bytes) {
-  std::string_view left = bytes;
+void SendAll(ProxyFixture& fixture, TestConnection& connection, const std::string& bytes) {
+  std::string_view remaining = bytes;
   fixture.WaitUntil("everything is written", [&] {
-    left.remove_prefix(connection.TrySend(left));
-    return left.empty();
+    remaining.remove_prefix(connection.TrySend(remaining));
+    return remaining.empty();
   });
 }
 
@@ -44,36 +44,36 @@
 }
 
 TEST_CASE("a long request and a long response are forwarded completely, with each framing of the response") {
-  ProxyFixture fixture = RigWithMemory(1024 * 1024);
+  ProxyFixture fixture = FixtureWithMemory(1024 * 1024);
   TestServer server;
   fixture.SetEndpoints({&server});
-  const std::string question = LongBody(kLong, 'q');
-  const std::string reply = LongBody(kLong, 'r');
+  const std::string request_body = LongBody(kLong, 'q');
+  const std::string response_body = LongBody(kLong, 'r');
   std::string answer;
-  SUBCASE("Content-Length") { answer = Response(200, reply); }
-  SUBCASE("chunked") { answer = Chunked(reply); }
-  SUBCASE("until the end of the stream") { answer = "HTTP/1.1 200 X\r\n\r\n" + reply; }
+  SUBCASE("Content-Length") { answer = Response(200, response_body); }
+  SUBCASE("chunked") { answer = Chunked(response_body); }
+  SUBCASE("until the end of the stream") { answer = "HTTP/1.1 200 X\r\n\r\n" + response_body; }
   TestConnection client = fixture.ConnectClient();
-  SayAll(fixture, client, UnsafeRequest("a1", question));
+  SendAll(fixture, client, UnsafeRequest("a1", request_body));
   TestConnection& upstream = fixture.WaitForRequest(server, "a1");
-  fixture.WaitForData(upstream, question);
+  fixture.WaitForData(upstream, request_body);
   CHECK(fixture.long_bodies->taken() == kBeyondUsual);
-  SayAll(fixture, upstream, answer);
+  SendAll(fixture, upstream, answer);
   if (answer.find("Content-Length") == std::string::npos && answer.find("chunked") == std::string::npos) {
     upstream.ShutdownWrite();
   }
-  fixture.WaitForData(client, reply);
+  fixture.WaitForData(client, response_body);
   CHECK(client.text.rfind("HTTP/1.1 200 ", 0) == 0);
   CheckSettled(fixture);
   fixture.WaitUntil("its memory is released", [&] { return fixture.long_bodies->taken() == 0; });
 }
 
 TEST_CASE("a long request is rejected while the memory for long bodies is in use, and served afterwards") {
-  ProxyFixture fixture = RigWithMemory(kBeyondUsual);
+  ProxyFixture fixture = FixtureWithMemory(kBeyondUsual);
   TestServer server;
   fixture.SetEndpoints({&server});
   TestConnection first = fixture.ConnectClient();
-  SayAll(fixture, first, UnsafeRequest("first", LongBody(kLong, 'a')));
+  SendAll(fixture, first, UnsafeRequest("first", LongBody(kLong, 'a')));
   TestConnection& upstream = fixture.WaitForRequest(server, "first");
   TestConnection second = fixture.ConnectClient();
   second.Send(UnsafeRequest("second", LongBody(kLong, 'b')).substr(0, 1000));
@@ -90,7 +90,7 @@
   fixture.WaitUntil("its memory is released", [&] { return fixture.long_bodies->taken() == 0; });
   TestConnection fourth = fixture.ConnectClient();
   const std::string body = LongBody(kLong, 'd');
-  SayAll(fixture, fourth, UnsafeRequest("fourth", body));
+  SendAll(fixture, fourth, UnsafeRequest("fourth", body));
   TestConnection* at = nullptr;
   fixture.WaitUntil("the request is sent", [&] {
     for (TestServer* host : {&server, &other}) {
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("a request above the maximum size, or with an impossible size, is rejected as too large") {
-  ProxyFixture fixture = RigWithMemory(64 * 1024 * 1024);
+  ProxyFixture fixture = FixtureWithMemory(64 * 1024 * 1024);
   const std::string head =
       "POST /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a1\r\nRequest-Class: pay\r\nRequest-Timeout: 15000m\r\n";
   for (const std::string& framing :
@@ -124,7 +124,7 @@
 }
 
 TEST_CASE("a response without memory available fails and uses none") {
-  ProxyFixture fixture = RigWithMemory(kBeyondUsual - 1);
+  ProxyFixture fixture = FixtureWithMemory(kBeyondUsual - 1);
   TestServer server;
   fixture.SetEndpoints({&server});
   std::string answer;
@@ -134,9 +134,9 @@
   TestConnection client = fixture.ConnectClient();
   client.Send(UnsafeRequest("a1"));
   TestConnection& upstream = fixture.WaitForRequest(server, "a1");
-  std::string_view left = answer;
+  std::string_view remaining = answer;
   fixture.WaitUntil("the client is answered", [&] {
-    left.remove_prefix(upstream.TrySend(left));
+    remaining.remove_prefix(upstream.TrySend(remaining));
     return client.HasReceived("HTTP/1.1 502 ");
   });
   fixture.WaitUntil("its memory is released", [&] { return fixture.long_bodies->taken() == 0; });
--- a/tests/net/crowd_test.cpp
+++ b/tests/net/many_clients_test.cpp
@@ -22,23 +22,23 @@
 TEST_CASE(
     "single-request clients that stay connected are admitted at any rate, and a reused connection stays "
     "open") {
-  constexpr std::size_t kPlaces = 8;
-  ProxyFixture fixture(TestSettings(), kBound, 64, 8, kPlaces);
+  constexpr std::size_t kSlots = 8;
+  ProxyFixture fixture(TestSettings(), kBound, 64, 8, kSlots);
   TestServer server;
   fixture.SetEndpoints({&server});
-  TestConnection faithful = fixture.ConnectClient();
-  Serve(fixture, server, faithful, "f0");
-  Serve(fixture, server, faithful, "f1");
+  TestConnection returning = fixture.ConnectClient();
+  Serve(fixture, server, returning, "f0");
+  Serve(fixture, server, returning, "f1");
   std::vector<TestConnection> once;
   for (int i = 0; i < 40; ++i) {
     CAPTURE(i);
     // The platform admits no client beyond the slots, so one must be free by now.
-    REQUIRE(fixture.listener.connections() < kPlaces);
+    REQUIRE(fixture.listener.connections() < kSlots);
     once.push_back(fixture.ConnectClient());
     Serve(fixture, server, once.back(), "o" + std::to_string(i));
-    if (i % 10 == 9) Serve(fixture, server, faithful, "f" + std::to_string(i));
+    if (i % 10 == 9) Serve(fixture, server, returning, "f" + std::to_string(i));
   }
-  CHECK_FALSE(faithful.IsClosed());
+  CHECK_FALSE(returning.IsClosed());
   fixture.WaitUntil("the first of the others is disconnected", [&] { return once.front().IsClosed(); });
   CHECK_FALSE(once.front().reset);
 }
@@ -47,8 +47,8 @@
   ProxyFixture fixture(TestSettings(), kBound, 24, 4, 8);
   TestServer server;
   fixture.SetEndpoints({&server});
-  TestConnection faithful = fixture.ConnectClient();
-  Serve(fixture, server, faithful, "f0");
+  TestConnection returning = fixture.ConnectClient();
+  Serve(fixture, server, returning, "f0");
   TestConnection once = fixture.ConnectClient();
   Serve(fixture, server, once, "o0");
   std::vector<TestConnection> crowd;
@@ -61,9 +61,9 @@
     }
   }
   CHECK(crowd.front().IsClosed());
-  CHECK_FALSE(faithful.IsClosed());
+  CHECK_FALSE(returning.IsClosed());
   CHECK_FALSE(once.IsClosed());
-  Serve(fixture, server, faithful, "f1");
+  Serve(fixture, server, returning, "f1");
 }
 
 // A new client must not be disconnected in the same round, before its first request could arrive. Seen with
@@ -77,10 +77,10 @@
     fixture.WaitForData(crowd.back(), "HTTP/1.1 200 ");
   }
   // All of these are in the accept queue in the same round.
-  std::vector<TestConnection> fresh;
-  for (int i = 0; i < 6; ++i) fresh.push_back(fixture.ConnectClient());
+  std::vector<TestConnection> new_clients;
+  for (int i = 0; i < 6; ++i) new_clients.push_back(fixture.ConnectClient());
   fixture.WaitUntil("six clients are disconnected", [&] { return crowd[5].IsClosed(); });
-  for (TestConnection& client : fresh) CHECK_FALSE(client.IsClosed());
+  for (TestConnection& client : new_clients) CHECK_FALSE(client.IsClosed());
 }
 
 // A client that does not read its last response must not hold its descriptor while others wait.
--- a/tests/net/endings_test.cpp
+++ b/tests/net/race_test.cpp
@@ -28,12 +28,12 @@
   fixture.WaitUntil("the silent watch is closed", [&] { return silent.IsClosed(); });
   for (int i = 0; i < 3; ++i) fixture.loop.RunOnce(0);  // no further time passes
   REQUIRE(fixture.discovery_server.Accept());
-  std::size_t anew = fixture.discovery_server.connections.size() - 1;
-  CHECK(fixture.discovery_server.connections[anew].HasReceived("GET " + first + " HTTP/1.1\r\n"));
+  std::size_t reopened = fixture.discovery_server.connections.size() - 1;
+  CHECK(fixture.discovery_server.connections[reopened].HasReceived("GET " + first + " HTTP/1.1\r\n"));
   // Silent again: now there is a backoff before the next request.
   fixture.WaitUntil("it is closed too",
-                    [&] { return fixture.discovery_server.connections[anew].IsClosed(); });
-  fixture.discovery_server.connections[anew].text.clear();
+                    [&] { return fixture.discovery_server.connections[reopened].IsClosed(); });
+  fixture.discovery_server.connections[reopened].text.clear();
   for (int i = 0; i < 3; ++i) fixture.loop.RunOnce(0);
   CHECK_FALSE(fixture.discovery_server.Accept());
   WaitForDiscoveryRequest(fixture, first).Send(Response(200, R"({"rev":42,"all":false,"targets":[]})"));
@@ -53,12 +53,12 @@
 // ---- Disconnect of the client ----
 
 // Data that a client may have sent after its request before it disconnects.
-struct Behind {
+struct TrailingData {
   const char* what;
   std::string bytes;
 };
 
-std::vector<Behind> Behinds() {
+std::vector<TrailingData> TrailingDataCases() {
   std::string many;
   for (int i = 0; i < 40; ++i) many += SafeRequest("m" + std::to_string(i));
   return {{"nothing", ""},
@@ -71,29 +71,31 @@
 }
 
 // Sends everything while the event loop runs.
-void Pour(ProxyFixture& fixture, TestConnection& client, std::string_view bytes) {
+void SendAll(ProxyFixture& fixture, TestConnection& client, std::string_view bytes) {
   fixture.WaitUntil("everything is sent", [&] {
     bytes.remove_prefix(client.TrySend(bytes));
     return bytes.empty();
   });
 }
 
-void Go(TestConnection& client, bool hard) { hard ? client.Reset() : client.Close(); }
+void DisconnectClient(TestConnection& client, bool with_reset) {
+  with_reset ? client.Reset() : client.Close();
+}
 
 // A queued request must not be forwarded after its client has disconnected. The end of stream follows all
 // data that the client has sent, so the proxy has to keep reading.
 TEST_CASE("a queued request whose client disconnects is not forwarded, whatever the client sent after it") {
-  for (const Behind& behind : Behinds()) {
-    for (bool hard : {false, true}) {
-      CAPTURE(behind.what);
-      CAPTURE(hard);
+  for (const TrailingData& trailing : TrailingDataCases()) {
+    for (bool with_reset : {false, true}) {
+      CAPTURE(trailing.what);
+      CAPTURE(with_reset);
       ProxyFixture fixture;
       fixture.SetEndpoints({});  // no server: requests are queued
       TestConnection client = fixture.ConnectClient();
       client.Send(SafeRequest("a1"));
       fixture.WaitUntil("the request is queued", [&] { return fixture.dispatcher.open_requests() == 1; });
-      Pour(fixture, client, behind.bytes);
-      Go(client, hard);
+      SendAll(fixture, client, trailing.bytes);
+      DisconnectClient(client, with_reset);
       fixture.WaitUntil("the disconnect is noticed", [&] { return fixture.dispatcher.open_requests() == 0; });
       CheckSettled(fixture);
       CHECK(fixture.listener.connections() == 0);
@@ -114,8 +116,8 @@
     "many clients that disconnect at the same time are all noticed, and their requests are not forwarded") {
   ProxyFixture fixture(TestSettings(), kBound, 128, 8, 100);
   fixture.SetEndpoints({});
-  std::vector<Behind> behinds = Behinds();
-  behinds.pop_back();
+  std::vector<TrailingData> trailing_cases = TrailingDataCases();
+  trailing_cases.pop_back();
   std::vector<TestConnection> crowd;
   for (int i = 0; i < 60; ++i) {
     crowd.push_back(fixture.ConnectClient());
@@ -124,9 +126,9 @@
   }
   fixture.WaitUntil("all requests are queued", [&] { return fixture.dispatcher.open_requests() == 60; });
   for (std::size_t i = 0; i < crowd.size(); ++i) {
-    std::string bytes = behinds[i % behinds.size()].bytes;
+    std::string bytes = trailing_cases[i % trailing_cases.size()].bytes;
     crowd[i].Send(bytes.substr(0, 8'000));
-    Go(crowd[i], i % 2 == 0);
+    DisconnectClient(crowd[i], i % 2 == 0);
   }
   fixture.WaitUntil("all disconnects are noticed", [&] { return fixture.dispatcher.open_requests() == 0; });
   CheckSettled(fixture);
@@ -148,14 +150,14 @@
       balancer::Settings settings = TestSettings();
       settings.may_cancel = may_cancel;
       ProxyFixture fixture(settings);
-      TestServer first, shut(false, true);
+      TestServer first, hanging(false, true);
       if (retry) fixture.SetEndpoints({&first});
-      if (!retry) fixture.SetEndpoints({&shut});
+      if (!retry) fixture.SetEndpoints({&hanging});
       TestConnection client = fixture.ConnectClient();
       client.Send(SafeRequest("a1"));
       if (retry) {  // rejected by the first server; the connection to the other one hangs
         TestConnection& at = fixture.WaitForRequest(first, "a1");
-        fixture.SetEndpoints({&shut}, EndpointList::Kind::kDelta);
+        fixture.SetEndpoints({&hanging}, EndpointList::Kind::kDelta);
         at.Send(Response(503, "", "Not-Started: 1\r\nConnection: close\r\n"));
         fixture.WaitUntil("the first connection is closed", [&] { return at.IsClosed(); });
       }
@@ -165,12 +167,12 @@
       fixture.WaitUntil("the disconnect is noticed", [&] { return fixture.dispatcher.open_requests() == 0; });
       CHECK(fixture.upstream_pool.connections() == 0);  // no attempt is left
       CheckSettled(fixture);
-      shut.Open();
+      hanging.Open();
       TestConnection next = fixture.ConnectClient();
       next.Send(SafeRequest("b1"));
       if (retry) fixture.SetEndpoints({&first}, EndpointList::Kind::kDelta, EndpointState::kDraining);
-      fixture.WaitForRequest(shut, "b1");
-      for (TestConnection& connection : shut.connections)
+      fixture.WaitForRequest(hanging, "b1");
+      for (TestConnection& connection : hanging.connections)
         CHECK_FALSE(connection.HasReceived("Request-Id: a1"));
     }
   }
@@ -207,8 +209,8 @@
   client.Send(SafeRequest("a1"));
   fixture.WaitForRequest(server, "a1");
   std::string large(60'000, 'x');
-  Pour(fixture, client,
-       UnsafeRequest("a2", large) + UnsafeRequest("a3", large) + std::string(3'000'000, 'x'));
+  SendAll(fixture, client,
+          UnsafeRequest("a2", large) + UnsafeRequest("a3", large) + std::string(3'000'000, 'x'));
   for (const char* id : {"a1", "a2"}) {
     TestConnection& now = fixture.WaitForRequest(server, id);
     now.text.clear();
@@ -231,7 +233,7 @@
     TestServer early, other;
     fixture.SetEndpoints({&early});
     TestConnection client = fixture.ConnectClient();
-    Pour(fixture, client, UnsafeRequest("a1", std::string(64 * 1024, 'x')));
+    SendAll(fixture, client, UnsafeRequest("a1", std::string(64 * 1024, 'x')));
     // The connection is established in both kernels, but the event loop has not noticed and has written
     // nothing.
     fixture.WaitUntil("the server is connected", [&] { return early.Accept(); });
@@ -252,10 +254,10 @@
   fixture.SetEndpoints({&server});
   TestConnection client = fixture.ConnectClient();
   client.Send(SafeRequest("a1"));
-  TestConnection& spoilt = fixture.WaitForRequest(server, "a1");
-  spoilt.Send(Response(200, "one") + Response(200, "one"));
+  TestConnection& first_connection = fixture.WaitForRequest(server, "a1");
+  first_connection.Send(Response(200, "one") + Response(200, "one"));
   fixture.WaitForData(client, "one");
-  fixture.WaitUntil("that connection is closed", [&] { return spoilt.IsClosed(); });
+  fixture.WaitUntil("that connection is closed", [&] { return first_connection.IsClosed(); });
   client.text.clear();
   client.Send(SafeRequest("a2"));
   TestConnection* at = &fixture.WaitForRequest(server, "a2");
@@ -303,8 +305,8 @@
 TEST_CASE("a connection attempt that times out is followed by an attempt at another server") {
   ProxyFixture fixture;
   fixture.upstream_pool.SetLimits({50 * kMs, kBound});
-  TestServer shut(false, true), other;
-  fixture.SetEndpoints({&shut});
+  TestServer hanging(false, true), other;
+  fixture.SetEndpoints({&hanging});
   TestConnection client = fixture.ConnectClient();
   client.Send(UnsafeRequest("a1"));
   fixture.WaitUntil("a connection is being established",
@@ -322,14 +324,14 @@
 // same list.
 TEST_CASE("attempts that are connecting when many servers drain go to the remaining server") {
   ProxyFixture fixture;
-  TestServer shut(false, true), staying;
+  TestServer hanging(false, true), staying;
   std::vector<TestServer> leaving(8);  // so many that the remaining one is not chosen by chance
-  fixture.SetEndpoints({&shut});
+  fixture.SetEndpoints({&hanging});
   TestConnection client = fixture.ConnectClient();
   client.Send(UnsafeRequest("a1"));
   fixture.WaitUntil("a connection is being established",
                     [&] { return fixture.upstream_pool.connections() == 1; });
-  std::vector<TestServer*> all = {&shut};
+  std::vector<TestServer*> all = {&hanging};
   for (TestServer& host : leaving) all.push_back(&host);
   fixture.SetEndpoints(all, EndpointList::Kind::kDelta);
   fixture.SetEndpoints({&staying}, EndpointList::Kind::kDelta);
@@ -375,7 +377,7 @@
         TestConnection* at = &fixture.WaitForRequest(server, "a1");
         fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
         int rev = 42;
-        bool left = false, closed = false;
+        bool disconnected = false, closed = false;
         auto listed = [&](const char* state) {
           watch.Send(Response(200, R"({"rev":)" + std::to_string(rev++) +
                                        R"(,"all":false,"targets":[{"uid":"w)" + std::to_string(server.port) +
@@ -387,18 +389,18 @@
           if (end == kError && !closed) at->Send(Response(500));
           if (end == kReset && !closed) at->Reset(), closed = true;
           if (end == kClose && !closed) at->Close(), closed = true;
-          if (end == kFin) client.Close(), left = true;
-          if (end == kRst) client.Reset(), left = true;
+          if (end == kFin) client.Close(), disconnected = true;
+          if (end == kRst) client.Reset(), disconnected = true;
           if (end == kDrain) listed("draining");
           if (end == kGone) listed("removed");
         }
         auto answered = [&] { return client.HasReceived("HTTP/1.1 ") && client.HasReceived("\r\n\r\n"); };
-        bool quiet =
+        bool server_unaffected =
             !closed && (first != kAnswer && second != kAnswer) && (first != kError && second != kError);
-        if (left) {
+        if (disconnected) {
           fixture.WaitUntil("the disconnect is noticed",
                             [&] { return fixture.dispatcher.open_requests() == 0; });
-        } else if (quiet) {  // both events concern the list: the request continues
+        } else if (server_unaffected) {  // both events concern the list: the request continues
           for (int i = 0; i < 5; ++i) fixture.loop.RunOnce(0);
           at->Send(Response(200, "one"));
           fixture.WaitForData(client, "one");
--- a/tests/net/rules_test.cpp
+++ b/tests/net/request_handling_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 // Waits for the first connection to one of two servers and returns that server.
-TestServer* Dialled(ProxyFixture& fixture, TestServer& one, TestServer& two) {
+TestServer* WaitForFirstServer(ProxyFixture& fixture, TestServer& one, TestServer& two) {
   TestServer* first = nullptr;
   fixture.WaitUntil("a server is connected", [&] {
     first = one.Accept() ? &one : two.Accept() ? &two : nullptr;
@@ -72,7 +72,7 @@
     fixture.SetEndpoints({&one, &two});
     TestConnection client = fixture.ConnectClient();
     client.Send(UnsafeRequest("a1"));
-    TestServer* first = Dialled(fixture, one, two);
+    TestServer* first = WaitForFirstServer(fixture, one, two);
     fixture.WaitForRequest(*first, "a1").Send(Response(status, "", "Not-Started: 1\r\n"));
     TestConnection& second = fixture.WaitForRequest(first == &one ? two : one, "a1");
     // The module must receive one outcome for each attempt: another report about the first is ignored.
@@ -90,12 +90,12 @@
   fixture.SetEndpoints({&server});
   TestConnection client = fixture.ConnectClient();
   client.Send(UnsafeRequest("a1"));
-  Micros asked = fixture.loop.Now();
+  Micros request = fixture.loop.Now();
   fixture.WaitForRequest(server, "a1").Send(Response(503, "mine", "Not-Started: 1\r\n"));
   fixture.WaitForData(client, "\r\n\r\n");
   CHECK(client.HasReceived("HTTP/1.1 503 "));
   CHECK_FALSE(client.HasReceived("mine"));
-  CHECK(fixture.loop.Now() < asked + 15'000 * kMs);  // long before the client's timeout
+  CHECK(fixture.loop.Now() < request + 15'000 * kMs);  // long before the client's timeout
   CheckSettled(fixture);
 }
 
@@ -118,7 +118,7 @@
     fixture.SetEndpoints({&one, &two});
     TestConnection client = fixture.ConnectClient();
     client.Send(UnsafeRequest("a1"));
-    TestServer* first = Dialled(fixture, one, two);
+    TestServer* first = WaitForFirstServer(fixture, one, two);
     c.end(fixture.WaitForRequest(*first, "a1"));
     fixture.WaitForData(client, "HTTP/1.1 502 ");
     CheckSettled(fixture);
@@ -646,7 +646,7 @@
   WaitForDiscoveryRequest(fixture, "/discovery/hosts?after=41&wait_ms=0");
 }
 
-std::string Listed(const std::string& uid, const TestServer& at, const std::string& state = "up") {
+std::string ListEntry(const std::string& uid, const TestServer& at, const std::string& state = "up") {
   return R"({"uid":")" + uid + R"(","endpoint":"127.0.0.1:)" + std::to_string(at.port) +
          R"(","az":"here","model":"plain","state":")" + state + R"(","boot_ms":0})";
 }
@@ -662,15 +662,15 @@
   WaitForDiscoveryRequest(fixture, first).Send(Response(200, "{]"));
   WaitForDiscoveryRequest(fixture, first).Close();
   WaitForDiscoveryRequest(fixture, first)
-      .Send(Response(200, R"({"rev":43,"all":true,"targets":[)" + Listed("a", leaving) + "]}"));
+      .Send(Response(200, R"({"rev":43,"all":true,"targets":[)" + ListEntry("a", leaving) + "]}"));
   TestConnection& watch = WaitForDiscoveryRequest(fixture, "/discovery/hosts?after=43&wait_ms=1000");
   TestConnection client = fixture.ConnectClient();
   client.Send(SafeRequest("a1"));
   fixture.WaitForRequest(leaving, "a1").Send(Response(200, "one"));
   fixture.WaitForData(client, "one");
   // After the drain, the next request goes to the other server.
-  watch.Send(Response(200, R"({"rev":44,"all":false,"targets":[)" + Listed("a", leaving, "draining") + "," +
-                               Listed("b", staying) + "]}"));
+  watch.Send(Response(200, R"({"rev":44,"all":false,"targets":[)" + ListEntry("a", leaving, "draining") +
+                               "," + ListEntry("b", staying) + "]}"));
   WaitForDiscoveryRequest(fixture, "/discovery/hosts?after=44&wait_ms=1000");
   for (const char* id : {"a2", "a3", "a4"}) {
     client.Send(SafeRequest(id));
@@ -725,7 +725,8 @@
         R"({"uid":"away-)" + std::to_string(i) +
         R"(","endpoint":"127.0.0.2:1","az":"here","model":"plain","pod_group":7,"state":"draining","boot_ms":0},)";
   }
-  std::string whole = Response(200, R"({"rev":43,"all":true,"targets":[)" + list + Listed("a", first) + "]}");
+  std::string whole =
+      Response(200, R"({"rev":43,"all":true,"targets":[)" + list + ListEntry("a", first) + "]}");
   REQUIRE(whole.size() > http::kMaxBodySize);
   TestConnection& discovery = WaitForDiscoveryRequest(fixture, "/discovery/hosts?after=41&wait_ms=0");
   std::string_view left = whole;
@@ -738,8 +739,8 @@
   client.Send(SafeRequest("a1"));
   fixture.WaitForRequest(first, "a1").Send(Response(200, "one"));
   fixture.WaitForData(client, "one");
-  watch.Send(Response(200, R"({"rev":44,"all":false,"targets":[)" + Listed("a", first, "draining") + "," +
-                               Listed("b", second) + "]}"));
+  watch.Send(Response(200, R"({"rev":44,"all":false,"targets":[)" + ListEntry("a", first, "draining") + "," +
+                               ListEntry("b", second) + "]}"));
   WaitForDiscoveryRequest(fixture, "/discovery/hosts?after=44&wait_ms=500");
   client.Send(SafeRequest("a2"));
   fixture.WaitForRequest(second, "a2").Send(Response(200, "two"));
@@ -757,7 +758,7 @@
   TestConnection& old = WaitForDiscoveryRequest(fixture, "/discovery/hosts?after=41&wait_ms=0");
   fixture.discovery.MoveTo(elsewhere.endpoint(), "elsewhere");
   fixture.WaitUntil("the old connection is closed", [&] { return old.IsClosed(); });
-  auto asked = [&](const std::string& target) {
+  auto request = [&](const std::string& target) {
     fixture.WaitUntil(target.c_str(), [&] {
       elsewhere.Accept();
       return !elsewhere.connections.empty() &&
@@ -766,12 +767,12 @@
     elsewhere.connections.back().text.clear();
     return &elsewhere.connections.back();
   };
-  asked("/discovery/hosts")
+  request("/discovery/hosts")
       ->Reset();  // requests a snapshot again, since no version of the new address is known yet
   std::string entry = R"({"uid":"s-1","endpoint":"127.0.0.1:)" + std::to_string(after.port) +
                       R"(","az":"here","model":"plain","state":"up","boot_ms":0})";
-  asked("/discovery/hosts")->Send(Response(200, R"({"rev":3,"all":true,"targets":[)" + entry + "]}"));
-  asked("/discovery/hosts?after=3&wait_ms=500");
+  request("/discovery/hosts")->Send(Response(200, R"({"rev":3,"all":true,"targets":[)" + entry + "]}"));
+  request("/discovery/hosts?after=3&wait_ms=500");
   TestConnection next = fixture.ConnectClient();
   for (const char* id : {"a2", "a3"}) {
     next.Send(SafeRequest(id));
@@ -835,7 +836,7 @@
   Program program(ProgramConfig(0, server.port));
   ProxyFixture fixture;  // only for its bounded waits
   fixture.WaitUntil("the program is running",
-                    [&] { return program.ReadLog().find("workers known\n") != std::string::npos; });
+                    [&] { return program.ReadLog().find("servers known\n") != std::string::npos; });
   std::string log = program.ReadLog();
   auto port = static_cast<std::uint16_t>(std::atoi(log.c_str() + log.find("port ") + 5));
   TestConnection client = TestConnection::Connect(port);
@@ -874,7 +875,7 @@
   auto wait_for_log = [&](const char* text) {
     fixture.WaitUntil(text, [&] { return program.ReadLog().find(text) != std::string::npos; });
   };
-  wait_for_log("workers known\n");
+  wait_for_log("servers known\n");
   std::string start = program.ReadLog();
   TestConnection client =
       TestConnection::Connect(static_cast<std::uint16_t>(std::atoi(start.c_str() + start.find("port ") + 5)));
@@ -924,7 +925,7 @@
   });
   ProxyFixture fixture;  // only for its bounded waits
   fixture.WaitUntil("the program is running",
-                    [&] { return program.ReadLog().find("workers known\n") != std::string::npos; });
+                    [&] { return program.ReadLog().find("servers known\n") != std::string::npos; });
   program.WriteConfigToPipe(config);  // for the reload
   CHECK(program.Wait() == 0);
   std::string log = program.ReadLog();
@@ -943,7 +944,7 @@
   Program program(config);
   ProxyFixture fixture;  // only for its bounded waits
   fixture.WaitUntil("the program is running",
-                    [&] { return program.ReadLog().find("workers known\n") != std::string::npos; });
+                    [&] { return program.ReadLog().find("servers known\n") != std::string::npos; });
   std::string log = program.ReadLog();
   TestConnection client =
       TestConnection::Connect(static_cast<std::uint16_t>(std::atoi(log.c_str() + log.find("port ") + 5)));
@@ -974,7 +975,7 @@
 // ---- Upgrades and the console, with the program itself ----
 
 // Sends a console request on a new connection; returns the status code.
-int Ask(ProxyFixture& fixture, std::uint16_t port, const std::string& line) {
+int SendToConsole(ProxyFixture& fixture, std::uint16_t port, const std::string& line) {
   TestConnection sink = TestConnection::Connect(port);
   sink.Send(line + " HTTP/1.1\r\nHost: x\r\n\r\n");
   fixture.WaitUntil("the console responds", [&] { return sink.IsClosed(); });
@@ -1003,15 +1004,16 @@
   ProxyFixture fixture;  // only for its bounded waits
   std::uint16_t console = ReadPort(fixture, program, "console on port ");
   std::uint16_t port = ReadPort(fixture, program, "started as n0 on port ");
-  std::vector<TestConnection> crowd, callers;
+  std::vector<TestConnection> crowd, console_connections;
   for (int i = 0; i < 80; ++i) {
     crowd.push_back(TestConnection::Connect(port));
     crowd.back().Send(SafeRequest("a" + std::to_string(i)));
   }
   fixture.WaitUntil("all connections are in use",
                     [&] { return program.ReadLog().find("connections in use") != std::string::npos; });
-  for (int i = 0; i < 40; ++i) callers.push_back(TestConnection::Connect(console));
-  CHECK(Ask(fixture, console, "GET /_ready") == 200);  // the connections before it have been accepted
+  for (int i = 0; i < 40; ++i) console_connections.push_back(TestConnection::Connect(console));
+  CHECK(SendToConsole(fixture, console, "GET /_ready") ==
+        200);  // the connections before it have been accepted
   CHECK(program.Descriptors() <= 64);
   CHECK(program.ReadLog().find("accept failed") == std::string::npos);
 }
@@ -1025,7 +1027,7 @@
   ProxyFixture fixture;  // only for its bounded waits
   auto first = std::make_unique<Program>(ProgramConfig(1, server.port), platform.Env(tmp));
   std::uint16_t console = ReadPort(fixture, *first, "console on port ");
-  CHECK(Ask(fixture, console, "GET /_ready") == 200);
+  CHECK(SendToConsole(fixture, console, "GET /_ready") == 200);
   TestConnection client =
       TestConnection::Connect(platform.socket.port);  // served through the platform's socket
   client.Send(SafeRequest("u1"));
@@ -1033,13 +1035,13 @@
   at.Send(Response(200, "on the platform's socket"));
   fixture.WaitForData(client, "on the platform's socket");
   client.Close();
-  CHECK(Ask(fixture, console, "PUT /_plan-servers/detach?who=nobody") == 404);
-  CHECK(Ask(fixture, console, "PUT /_plan-servers/detach?who=s") == 200);
-  CHECK(Ask(fixture, console, "PUT /_plan-servers/detach?who=s") == 200);
+  CHECK(SendToConsole(fixture, console, "PUT /_plan-servers/detach?who=nobody") == 404);
+  CHECK(SendToConsole(fixture, console, "PUT /_plan-servers/detach?who=s") == 200);
+  CHECK(SendToConsole(fixture, console, "PUT /_plan-servers/detach?who=s") == 200);
   // /up follows each change of the lame-duck mode.
   for (const char* turn : {"on", "off", "on", "off"}) {
     CAPTURE(turn);
-    CHECK(Ask(fixture, console, std::string("PUT /_lameduck/") + turn) == 200);
+    CHECK(SendToConsole(fixture, console, std::string("PUT /_lameduck/") + turn) == 200);
     TestConnection probe = TestConnection::Connect(platform.socket.port);
     probe.Send("GET /up HTTP/1.1\r\n\r\n");
     fixture.WaitForData(probe, std::string(turn) == "on" ? "HTTP/1.1 503" : "HTTP/1.1 200");
@@ -1053,16 +1055,16 @@
     CHECK(failed.Wait() == 1);
     CHECK(failed.ReadLog().find("cannot start: BALANCER_SOCKET_FD") != std::string::npos);
   }
-  CHECK(Ask(fixture, console, "GET /_ready") == 200);
+  CHECK(SendToConsole(fixture, console, "GET /_ready") == 200);
 
   Program second(ProgramConfig(1, server.port), platform.Env(tmp));
   std::uint16_t next = ReadPort(fixture, second, "console on port ");
-  CHECK(Ask(fixture, next, "GET /_ready") == 200);
+  CHECK(SendToConsole(fixture, next, "GET /_ready") == 200);
   first->Signal(SIGTERM);
   CHECK(first->Wait() == 0);
   first.reset();
   // The successor knows that the server is drained, so attach has an effect.
-  CHECK(Ask(fixture, next, "PUT /_plan-servers/attach?who=s") == 200);
+  CHECK(SendToConsole(fixture, next, "PUT /_plan-servers/attach?who=s") == 200);
   fixture.WaitUntil("the server is undrained",
                     [&] { return second.ReadLog().find("undrained by the operators") != std::string::npos; });
   second.Signal(SIGTERM);
--- a/tests/net/start_test.cpp
+++ b/tests/net/start_test.cpp
@@ -48,15 +48,15 @@
     ProxyFixture fixture;  // only for its bounded waits
     std::uint16_t console = ReadPort(fixture, program, "console on port ");
     std::uint16_t port = ReadPort(fixture, program, "started as n0 on port ");
-    std::vector<TestConnection> crowd, callers;
+    std::vector<TestConnection> idle_clients, console_connections;
     auto fill = [&] {
       // Disconnected clients are replaced, so that far more than the limit are waiting at any time. Bounded,
       // since the test needs descriptors itself, as do the sanitizers.
-      std::erase_if(crowd, [](TestConnection& connection) { return connection.IsClosed(); });
-      while (crowd.size() < 600) crowd.push_back(TestConnection::Connect(port));
+      std::erase_if(idle_clients, [](TestConnection& connection) { return connection.IsClosed(); });
+      while (idle_clients.size() < 600) idle_clients.push_back(TestConnection::Connect(port));
       // Console connections too: everything that can be held from outside.
-      std::erase_if(callers, [](TestConnection& connection) { return connection.IsClosed(); });
-      while (callers.size() < 60) callers.push_back(TestConnection::Connect(console));
+      std::erase_if(console_connections, [](TestConnection& connection) { return connection.IsClosed(); });
+      while (console_connections.size() < 60) console_connections.push_back(TestConnection::Connect(console));
       if (!silent) {
         while (discovery.Accept()) discovery.connections.back().Reset();
       }
@@ -76,19 +76,19 @@
     fill();
     // The watch: discovery recovers while the clients are there and lists another server.
     if (silent) discovery.Open();
-    TestConnection* asked = nullptr;
+    TestConnection* request = nullptr;
     fixture.WaitUntil("discovery receives a request", [&] {
       discovery.Accept();
       for (TestConnection& connection : discovery.connections) {
         if (connection.HasReceived("GET /discovery/hosts?after=1&wait_ms=0 HTTP/1.1\r\n"))
-          asked = &connection;
+          request = &connection;
       }
-      return asked != nullptr;
+      return request != nullptr;
     });
-    asked->text.clear();
-    asked->Send(Response(200, R"({"rev":2,"all":true,"targets":[)" + Target("t", At(after)) + "]}"));
+    request->text.clear();
+    request->Send(Response(200, R"({"rev":2,"all":true,"targets":[)" + Target("t", At(after)) + "]}"));
     fixture.WaitUntil("the watch continues",
-                      [&] { return asked->HasReceived("GET /discovery/hosts?after=2&wait_ms=1000 "); });
+                      [&] { return request->HasReceived("GET /discovery/hosts?after=2&wait_ms=1000 "); });
     Serve(fixture, port, after, "w0");
     fill();
     CHECK(program.Descriptors() <= kDescriptors);
@@ -140,7 +140,7 @@
     CAPTURE(i);
     Program& program = *programs[static_cast<std::size_t>(i)];
     std::uint16_t port = ReadPort(fixture, program, "started as n0 on port ");
-    CHECK(program.ReadLog().find("with 17000 workers known") != std::string::npos);
+    CHECK(program.ReadLog().find("with 17000 servers known") != std::string::npos);
     TestConnection probe = TestConnection::Connect(port);
     probe.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     fixture.WaitForData(probe, "HTTP/1.1 200 ");
--- a/tests/net/stream_end_test.cpp
+++ b/tests/net/stream_end_test.cpp
@@ -22,43 +22,44 @@
     socket.Flush();
   }
   void OnClosed(StreamEnd how) override {
-    ++gone;
+    ++closed_count;
     closed = how;
   }
   StreamSocket socket;
   std::array<char, 4096> room{};
   std::string text;
   bool replies = false;  // writes from within OnReceived
-  int gone = 0;
+  int closed_count = 0;
   std::optional<StreamEnd> closed;
 };
 
 // An adopted connection and its other end.
-struct Pair {
-  explicit Pair(Recorder& to) : connection(TestConnection::Connect(host.port)) {
+struct AdoptedConnection {
+  explicit AdoptedConnection(Recorder& recorder) : connection(TestConnection::Connect(host.port)) {
     REQUIRE(host.Accept());
     // The stream socket owns the descriptor from here on.
-    REQUIRE(to.socket.Adopt(host.connections.back().Release()));
+    REQUIRE(recorder.socket.Adopt(host.connections.back().Release()));
   }
   TestServer host;
   TestConnection connection;
 };
 
 TEST_CASE("a reset is reported as a reset and an end as an end, whichever system call detected it") {
-  enum class Met { kByRead, kByLook, kByWrite, kByWriteWithinRead, kByPoll, kByAskingForTheError };
+  enum class DetectedBy { kByRead, kByStaleCheck, kByWrite, kByWriteWithinRead, kByPoll, kByErrorQuery };
   for (bool reset : {false, true}) {
     for (bool fin_before : {false, true}) {
-      for (Met met : {Met::kByRead, Met::kByLook, Met::kByWrite, Met::kByWriteWithinRead, Met::kByPoll,
-                      Met::kByAskingForTheError}) {
+      for (DetectedBy detected_by :
+           {DetectedBy::kByRead, DetectedBy::kByStaleCheck, DetectedBy::kByWrite,
+            DetectedBy::kByWriteWithinRead, DetectedBy::kByPoll, DetectedBy::kByErrorQuery}) {
         for (bool bytes : {false, true}) {
           CAPTURE(reset);
           CAPTURE(fin_before);
-          CAPTURE(static_cast<int>(met));
+          CAPTURE(static_cast<int>(detected_by));
           CAPTURE(bytes);
           EventLoop loop;
-          Recorder to(loop);
-          Pair pair(to);
-          to.replies = met == Met::kByWriteWithinRead;
+          Recorder recorder(loop);
+          AdoptedConnection pair(recorder);
+          recorder.replies = detected_by == DetectedBy::kByWriteWithinRead;
           if (bytes) pair.connection.Send("abc");
           if (fin_before) pair.connection.ShutdownWrite();
           if (reset) {
@@ -66,19 +67,19 @@
           } else {
             pair.connection.ShutdownWrite();
           }
-          WaitWithoutLoop("the end is in the kernel", [&] { return to.socket.PeerHasClosed(); });
-          if (met == Met::kByLook) CHECK(to.socket.IsStale());
-          if (met == Met::kByPoll) CHECK(to.socket.PeerHasClosed());
-          if (met == Met::kByWrite && reset) {
-            to.socket.output().Append("late");
-            to.socket.Flush();
+          WaitWithoutLoop("the end is in the kernel", [&] { return recorder.socket.PeerHasClosed(); });
+          if (detected_by == DetectedBy::kByStaleCheck) CHECK(recorder.socket.IsStale());
+          if (detected_by == DetectedBy::kByPoll) CHECK(recorder.socket.PeerHasClosed());
+          if (detected_by == DetectedBy::kByWrite && reset) {
+            recorder.socket.output().Append("late");
+            recorder.socket.Flush();
           }
-          for (int i = 0; to.gone == 0 && i < 1000; ++i) loop.RunOnce(5 * kMs);
-          REQUIRE(to.gone == 1);
-          CHECK(to.text == (bytes ? "abc" : ""));
-          CHECK((*to.closed == StreamEnd::kBroken) == reset);
+          for (int i = 0; recorder.closed_count == 0 && i < 1000; ++i) loop.RunOnce(5 * kMs);
+          REQUIRE(recorder.closed_count == 1);
+          CHECK(recorder.text == (bytes ? "abc" : ""));
+          CHECK((*recorder.closed == StreamEnd::kBroken) == reset);
           for (int i = 0; i < 3; ++i) loop.RunOnce(0);
-          CHECK(to.gone == 1);
+          CHECK(recorder.closed_count == 1);
         }
       }
     }
@@ -87,30 +88,30 @@
 
 TEST_CASE("the end of a stream does not affect the next one on the same object") {
   EventLoop loop;
-  Recorder to(loop);
+  Recorder recorder(loop);
   for (bool reset : {true, false}) {
-    Pair pair(to);
+    AdoptedConnection pair(recorder);
     if (reset) {
       pair.connection.Reset();
     } else {
       pair.connection.Close();
     }
-    int before = to.gone;
-    for (int i = 0; to.gone == before && i < 1000; ++i) loop.RunOnce(5 * kMs);
-    CHECK((*to.closed == StreamEnd::kBroken) == reset);
+    int before = recorder.closed_count;
+    for (int i = 0; recorder.closed_count == before && i < 1000; ++i) loop.RunOnce(5 * kMs);
+    CHECK((*recorder.closed == StreamEnd::kBroken) == reset);
   }
 }
 
 // ---- Owners of stream sockets ----
 
-struct Cut {
+struct TruncatedResponse {
   const char* what;
   std::string bytes;
-  bool whole_at_end;    // if an orderly end follows
-  bool whole_at_reset;  // if a reset follows
+  bool complete_at_end;    // if an orderly end follows
+  bool complete_at_reset;  // if a reset follows
 };
 
-std::vector<Cut> Cuts() {
+std::vector<TruncatedResponse> TruncatedResponses() {
   return {
       {"no length, no body", "HTTP/1.1 200 OK\r\n\r\n", true, false},
       {"no length, part of the body", "HTTP/1.1 200 OK\r\n\r\nmade so far", true, false},
@@ -130,10 +131,10 @@
 // A response truncated by a reset must not be forwarded as complete, and an unsafe request must not be
 // retried.
 TEST_CASE("a response truncated by a reset is not forwarded; one with an orderly end is") {
-  for (const Cut& cut : Cuts()) {
+  for (const TruncatedResponse& response : TruncatedResponses()) {
     for (bool reset : {false, true}) {
       for (bool safe : {false, true}) {
-        CAPTURE(cut.what);
+        CAPTURE(response.what);
         CAPTURE(reset);
         CAPTURE(safe);
         ProxyFixture fixture;
@@ -143,13 +144,13 @@
         client.Send(safe ? SafeRequest("a1") : UnsafeRequest("a1"));
         TestConnection& at = fixture.WaitForRequest(server, "a1");
         fixture.SetEndpoints({&other}, EndpointList::Kind::kDelta);
-        at.Send(cut.bytes);
+        at.Send(response.bytes);
         if (reset) {
           at.Reset();
         } else {
           at.Close();
         }
-        if (reset ? cut.whole_at_reset : cut.whole_at_end) {
+        if (reset ? response.complete_at_reset : response.complete_at_end) {
           fixture.WaitForData(client, "HTTP/1.1 200 OK\r\n");
           CheckSettled(fixture);
           CHECK_FALSE(other.Accept());
@@ -180,16 +181,16 @@
     fixture.SetEndpoints({});
     TestServer server;
     fixture.WaitUntil("discovery receives a request", [&] { return fixture.discovery_server.Accept(); });
-    TestConnection& asked = fixture.discovery_server.connections[0];
-    fixture.WaitForData(asked, "\r\n\r\n");
-    asked.Send(
+    TestConnection& request = fixture.discovery_server.connections[0];
+    fixture.WaitForData(request, "\r\n\r\n");
+    request.Send(
         "HTTP/1.1 200 "
         "OK\r\n\r\n{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"w\",\"endpoint\":\"127.0.0.1:" +
         std::to_string(server.port) + "\",\"az\":\"here\",\"model\":\"plain\",\"state\":\"up\"}]}\n");
     if (reset) {
-      asked.Reset();
+      request.Reset();
     } else {
-      asked.Close();
+      request.Close();
     }
     fixture.WaitUntil("discovery receives another request",
                       [&] { return fixture.discovery_server.Accept(); });
@@ -201,13 +202,13 @@
 
 // ---- Attempts that must not begin ----
 
-enum class Leaves { kClose, kReset, kCloseBehindBytes };
+enum class Disconnect { kClose, kReset, kCloseBehindBytes };
 
-void Leave(TestConnection& client, Leaves how) {
-  if (how == Leaves::kCloseBehindBytes) {
+void DisconnectClient(TestConnection& client, Disconnect how) {
+  if (how == Disconnect::kCloseBehindBytes) {
     for (int i = 0; i < 20; ++i) client.TrySend(SafeRequest("behind" + std::to_string(i)));
   }
-  if (how == Leaves::kReset) {
+  if (how == Disconnect::kReset) {
     client.Reset();
   } else {
     client.Close();
@@ -217,7 +218,7 @@
 // No attempt may begin for a client that has disconnected. The disconnect is in the kernel behind the outcome
 // that causes the retry, and an idle connection would send the retry immediately.
 TEST_CASE("no retry begins for a client whose disconnect is known to the kernel") {
-  for (Leaves how : {Leaves::kClose, Leaves::kReset, Leaves::kCloseBehindBytes}) {
+  for (Disconnect how : {Disconnect::kClose, Disconnect::kReset, Disconnect::kCloseBehindBytes}) {
     for (bool may_cancel : {false, true}) {
       for (std::size_t burst : {1, 4}) {
         CAPTURE(static_cast<int>(how));
@@ -262,7 +263,7 @@
           if (connection.HasReceived("Request-Id: a"))
             connection.Send(Response(503, "", "Not-Started: 1\r\n"));
         }
-        for (TestConnection& client : clients) Leave(client, how);
+        for (TestConnection& client : clients) DisconnectClient(client, how);
         fixture.WaitUntil("the disconnects are noticed",
                           [&] { return fixture.dispatcher.open_requests() == 0; });
         CheckSettled(fixture);
@@ -279,7 +280,7 @@
 // The connection is established and the client disconnects while the process is stalled. The attempt must not
 // begin.
 TEST_CASE("no attempt begins on a connection established after its client has disconnected") {
-  for (Leaves how : {Leaves::kClose, Leaves::kReset, Leaves::kCloseBehindBytes}) {
+  for (Disconnect how : {Disconnect::kClose, Disconnect::kReset, Disconnect::kCloseBehindBytes}) {
     for (bool may_cancel : {false, true}) {
       CAPTURE(static_cast<int>(how));
       CAPTURE(may_cancel);
@@ -294,7 +295,7 @@
                         [&] { return fixture.upstream_pool.connections() == 1; });
       shut.Open();
       WaitWithoutLoop("the connection is established", [&] { return shut.Accept(); });
-      Leave(client, how);
+      DisconnectClient(client, how);
       fixture.WaitUntil("the disconnect is noticed", [&] { return fixture.dispatcher.open_requests() == 0; });
       CheckSettled(fixture);
       TestConnection next = fixture.ConnectClient();
@@ -368,12 +369,12 @@
   Micros up_at = fixture.loop.Now();
   TestConnection& at = fixture.WaitForRequest(shut, "a1");
   const std::string name = "\r\nRequest-Timeout: ";
-  std::size_t place = at.text.find(name);
-  REQUIRE(place != std::string::npos);
-  auto told = http::ParseTimeout(
-      at.text.substr(place + name.size(), at.text.find('u', place + name.size()) + 1 - place - name.size()));
-  REQUIRE(told.has_value());
-  CHECK(*told <= begun_by + 15'000 * kMs - up_at);
+  std::size_t position = at.text.find(name);
+  REQUIRE(position != std::string::npos);
+  auto stated = http::ParseTimeout(at.text.substr(
+      position + name.size(), at.text.find('u', position + name.size()) + 1 - position - name.size()));
+  REQUIRE(stated.has_value());
+  CHECK(*stated <= begun_by + 15'000 * kMs - up_at);
 }
 
 }  // namespace
--- a/tests/net/support.hpp
+++ b/tests/net/support.hpp
@@ -75,7 +75,7 @@
       return text;
     }
   }
-  bool HasReceived(std::string_view part) { return Received().find(part) != std::string::npos; }
+  bool HasReceived(std::string_view expected) { return Received().find(expected) != std::string::npos; }
   bool IsClosed() { return Received(), closed; }
   void Close() { fd_.Reset(); }
   void ShutdownWrite() { ::shutdown(fd_.get(), SHUT_WR); }
@@ -96,26 +96,26 @@
 // A server controlled by the test: a listening socket on an ephemeral port.
 class TestServer {
  public:
-  // `handed_down`: stays open across exec, like the socket that the platform passes to the program. `shut`:
-  // connection attempts hang until Open().
-  explicit TestServer(bool handed_down = false, bool shut = false)
+  // `handed_down`: stays open across exec, like the socket that the platform passes to the program.
+  // `hanging`: connection attempts hang until Open().
+  explicit TestServer(bool handed_down = false, bool hanging = false)
       : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | (handed_down ? 0 : SOCK_CLOEXEC), 0)) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(kLoopback);
     socklen_t size = sizeof at;
     REQUIRE(::bind(fd_.get(), reinterpret_cast<sockaddr*>(&at), size) == 0);
-    REQUIRE(::listen(fd_.get(), shut ? 0 : 64) == 0);
+    REQUIRE(::listen(fd_.get(), hanging ? 0 : 64) == 0);
     REQUIRE(::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&at), &size) == 0);
     port = ntohs(at.sin_port);
     // The accept queue has one place, which is occupied: further SYN packets are dropped.
-    if (shut) plug_.push_back(TestConnection::Connect(port));
+    if (hanging) occupying_.push_back(TestConnection::Connect(port));
   }
   // Empties the accept queue, so that retransmitted SYN packets are accepted.
   void Open() {
     REQUIRE(::listen(fd_.get(), 64) == 0);
-    FileDescriptor plug(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-    plug_.clear();
+    FileDescriptor occupying(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    occupying_.clear();
   }
   bool Accept() {  // true if a connection was accepted; it is the last of `connections`
     FileDescriptor fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
@@ -131,7 +131,7 @@
 
  private:
   FileDescriptor fd_;
-  std::vector<TestConnection> plug_;
+  std::vector<TestConnection> occupying_;
 };
 
 inline balancer::Settings TestSettings() {
@@ -168,11 +168,11 @@
 class ProxyFixture {
  public:
   explicit ProxyFixture(const balancer::Settings& settings = TestSettings(), Micros idle = kBound,
-                        std::size_t connections = 64, std::size_t kept = 8, std::size_t places = 64,
-                        bool pushed = false, Micros write_timeout = kBound,
+                        std::size_t connections = 64, std::size_t reserved = 8,
+                        std::size_t connection_slots = 64, bool pushed = false, Micros write_timeout = kBound,
                         Micros linger_timeout = 1'000 * kMs, std::size_t long_body_memory = 0)
       : dispatcher(loop, log, settings),
-        descriptors(connections, kept),
+        descriptors(connections, reserved),
         long_bodies(std::make_shared<BodyMemory>(long_body_memory)),
         upstream_pool(loop, log, dispatcher, descriptors, {kBound, idle}, long_bodies),
         listener(loop, log, dispatcher, descriptors,
@@ -180,7 +180,7 @@
                   {"check", "pay", "open"},
                   {kBound, kBound, kBound},
                   {balancer::Effect::kSafe, balancer::Effect::kUnsafe, balancer::Effect::kKeyed},
-                  places,
+                  connection_slots,
                   kBound,
                   {},
                   TenantNames(settings),
@@ -216,10 +216,10 @@
   }
 
   // Runs the event loop until the condition holds; fails the test after kBound.
-  void WaitUntil(const char* what, const std::function<bool()>& holds) {
+  void WaitUntil(const char* description, const std::function<bool()>& condition) {
     Micros end = loop.Now() + kBound;
-    while (!holds()) {
-      INFO("waiting until " << std::string(what));
+    while (!condition()) {
+      INFO("waiting until " << std::string(description));
       REQUIRE(loop.Now() < end);
       loop.RunOnce(5 * kMs);
     }
@@ -240,8 +240,8 @@
     });
     return *found;
   }
-  void WaitForData(TestConnection& connection, std::string_view part) {
-    WaitUntil(std::string(part).c_str(), [&] { return connection.HasReceived(part); });
+  void WaitForData(TestConnection& connection, std::string_view expected) {
+    WaitUntil(std::string(expected).c_str(), [&] { return connection.HasReceived(expected); });
   }
 
   TestServer discovery_server;
@@ -300,11 +300,11 @@
 }
 
 // Waits for a condition without running the proxy's event loop.
-inline void WaitWithoutLoop(const char* what, const std::function<bool()>& holds) {
+inline void WaitWithoutLoop(const char* description, const std::function<bool()>& condition) {
   EventLoop clock;
   Micros end = clock.Now() + kBound;
-  while (!holds()) {
-    INFO("waiting until " << std::string(what));
+  while (!condition()) {
+    INFO("waiting until " << std::string(description));
     REQUIRE(clock.Now() < end);
     ::poll(nullptr, 0, 1);
   }
@@ -315,7 +315,7 @@
   void OnResponse(PayloadRef) override { ++served; }
   void OnRejected(Micros) override { ++other; }
   void OnFailed() override { ++other; }
-  bool ClientHasLeft() const override { return false; }
+  bool ClientHasDisconnected() const override { return false; }
   int served = 0;
   int other = 0;
 };
