--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -813,7 +813,7 @@
 
   void On(const ClientDisconnected& e) {
     auto it = requests_.find(e.id);
-    if (it == requests_.end() || it->second.finished) return;  // it may cross the response
+    if (it == requests_.end() || it->second.finished) return;  // the response may already be on its way
     Finish(it->second);
     EraseIfDone(e.id);
   }
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -90,7 +90,7 @@
   }
   Json::Value root;
   if (!Parse(response.body, &root)) {
-    std::fprintf(stderr, "dappletiller: %s answered something that is not a view\n", where.c_str());
+    std::fprintf(stderr, "dappletiller: the response of %s is not a membership view\n", where.c_str());
     return 1;
   }
   std::printf("%-20s %-10s %-8s %-22s %12s  %s\n", "member", "state", "zone", "address", "incarnation",
@@ -134,8 +134,7 @@
   if (int failed = Told(where, response)) return failed;
   Json::Value root;
   if (!Parse(response.body, &root)) {
-    std::fprintf(stderr, "dappletiller: %s answered something that is no state of the settings\n",
-                 where.c_str());
+    std::fprintf(stderr, "dappletiller: the response of %s is not a settings state\n", where.c_str());
     return 1;
   }
   bool current = root["current"].asBool();
@@ -145,7 +144,7 @@
   }
   std::printf("serial %s in force, %s entries; %s %s", root["serial"].asString().c_str(),
               root["entries"].asString().c_str(),
-              current ? "follows" : "NO CONTROL MACHINE ANSWERS, last asked", root["machine"].asCString());
+              current ? "follows" : "NO CONFIG SERVER RESPONDS, last asked", root["machine"].asCString());
   if (root["answered_ago_ms"].asInt64() >= 0)
     std::printf(", whole as of %.1f s ago", root["answered_ago_ms"].asDouble() / 1000);
   std::printf("\n");
@@ -156,9 +155,10 @@
   try {
     operators::OperatorFile file = operators::LoadOperatorFile(path);
     std::printf("%s: fine; %s%s%s\n", path.c_str(),
-                file.fleet ? ("member of fleet " + file.fleet->name).c_str() : "no [fleet]: no view is kept",
+                file.fleet ? ("member of fleet " + file.fleet->name).c_str()
+                           : "no [fleet] section: the process does not join a fleet",
                 file.settings_feed ? "; follows the settings feed" : "",
-                file.control ? ("; control machine " + file.control->name).c_str() : "");
+                file.control ? ("; config server " + file.control->name).c_str() : "");
     return 0;
   } catch (const operators::OperatorError& e) {
     std::fprintf(stderr, "%s\n", e.what());
@@ -180,20 +180,19 @@
   CLI::App* serve = app.add_subcommand("serve", "serve, with an operator file");
   serve->add_option("--operator", file, "the operator file (TOML)")->required();
 
-  CLI::App* control =
-      app.add_subcommand("control", "serve the settings feed, as one of its control machines");
+  CLI::App* control = app.add_subcommand("control", "serve the settings feed, as one of its config servers");
   control->add_option("--operator", file, "the operator file (TOML) with [control]")->required();
 
-  CLI::App* check = app.add_subcommand("check", "look an operator file over; 0: fine, 2: not");
+  CLI::App* check = app.add_subcommand("check", "check an operator file; exit status 0: valid, 2: invalid");
   check->add_option("file", file, "the operator file (TOML)")->required();
 
   std::string console = "127.0.0.1:8081";
   if (const char* at = std::getenv("BALANCER_CONSOLE"); at != nullptr && *at != '\0') console = at;
-  CLI::App* fleet = app.add_subcommand("fleet", "the view of the fleet that a running process keeps");
+  CLI::App* fleet = app.add_subcommand("fleet", "show and change the fleet membership of a running process");
   fleet->require_subcommand(1);
   fleet->add_option("--console", console, "the process's console (or $BALANCER_CONSOLE)")
       ->capture_default_str();
-  CLI::App* members = fleet->add_subcommand("members", "who is in the fleet, and how each is doing");
+  CLI::App* members = fleet->add_subcommand("members", "list the members of the fleet and their states");
   bool json = false;
   members->add_flag("--json", json, "as the console gives it");
   CLI::App* watch = fleet->add_subcommand("watch", "changes as they come");
@@ -201,13 +200,13 @@
   watch->add_option("--rounds", rounds, "end after so many looks, half a second apart (0: never)")
       ->check(CLI::Range(0, 1'000'000));
   CLI::App* leave = fleet->add_subcommand("leave", "have the process leave the fleet and serve on alone");
-  CLI::App* reap = fleet->add_subcommand("reap", "say that a dead member will not come back");
+  CLI::App* reap = fleet->add_subcommand("reap", "remove a dead member that will not come back");
   std::string name;
   reap->add_option("name", name, "the member")->required();
   CLI::App* key = fleet->add_subcommand("key", "print a new key for key_file");
 
   CLI::App* settings =
-      app.add_subcommand("settings", "what of the settings feed is in force in a running process");
+      app.add_subcommand("settings", "show which settings of the feed are in force in a running process");
   settings->add_option("--console", console, "the process's console (or $BALANCER_CONSOLE)")
       ->capture_default_str();
   settings->add_flag("--json", json, "as the console gives it");
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -57,7 +57,7 @@
   fleet.membership.seeds = s.Words("seeds");
   for (const std::string& seed : fleet.membership.seeds) Address(s, "seeds", seed);
   if (fleet.membership.seeds.size() > 16)
-    s.Fail("seeds", "more than 16; a few are enough, the members tell of the rest");
+    s.Fail("seeds", "more than 16; give a few, they announce all other members");
   auto millis = [&s](const char* key, Duration default_value, double min, double max) {
     const double milliseconds = s.Number(key, static_cast<double>(default_value.count()) / 1000, min, max);
     return Duration(static_cast<Micros>(milliseconds * 1000));
@@ -75,7 +75,7 @@
   if (fleet.key_file.empty()) {
     if (fleet.bind.address >> 24 != kLoopbackNet) {
       s.Fail("key_file",
-             "is missing, and without a key nothing but loopback is bound; make a key with 'dappletiller "
+             "is missing; without a key only loopback may be bound; make a key with 'dappletiller "
              "fleet key'");
     }
   } else {
@@ -111,32 +111,32 @@
   return fleet;
 }
 
-// Addresses of control machines. Only loopback, as with the fleet's datagrams without a key: what is told
-// there is neither signed nor secret yet.
-std::vector<std::string> ControlMachines(Section& s, std::string_view key) {
+// Addresses of config servers. Only loopback, as for the fleet's datagrams without a key: the feed is neither
+// authenticated nor encrypted.
+std::vector<std::string> ConfigServerAddresses(Section& s, std::string_view key) {
   std::vector<std::string> machines = s.Words(key);
   for (const std::string& machine : machines) {
     if (Address(s, key, machine).address >> 24 != kLoopbackNet)
       s.Fail(key,
-             machine + " is not a loopback address; the feed has no keys yet, so nothing else is spoken to");
+             machine + " is not a loopback address; the feed is not authenticated, so only loopback is used");
   }
   std::vector<std::string> sorted = machines;
   std::sort(sorted.begin(), sorted.end());
   if (std::adjacent_find(sorted.begin(), sorted.end()) != sorted.end())
-    s.Fail(key, "names a machine twice; remove one");
+    s.Fail(key, "contains an address twice; remove one");
   if (machines.size() > kMaxConfigServers) s.Fail(key, "more than 16; a few are enough for any fleet");
   return machines;
 }
 
 SettingsFeedOptions ReadSettingsFeed(Section s) {
   SettingsFeedOptions feed;
-  feed.nearby = ControlMachines(s, "machines");
+  feed.nearby = ConfigServerAddresses(s, "machines");
   if (feed.nearby.empty())
-    s.Fail("machines", "is missing; give the control machines, the near ones, as 127.0.0.1:9400");
-  feed.others = ControlMachines(s, "others");
+    s.Fail("machines", "is missing; give the nearby config servers, as 127.0.0.1:9400");
+  feed.others = ConfigServerAddresses(s, "others");
   for (const std::string& machine : feed.others) {
     if (std::find(feed.nearby.begin(), feed.nearby.end(), machine) != feed.nearby.end())
-      s.Fail("others", machine + " is among machines already; remove one");
+      s.Fail("others", machine + " is already in machines; remove one");
   }
   feed.services = s.Words("services");
   for (const std::string& service : feed.services) {
@@ -145,7 +145,7 @@
       s.Fail("services", "'" + service + "' is not a service's name; give a plain word without , / = ? # *");
   }
   if (feed.services.size() > kMaxFeedServices)
-    s.Fail("services", "more than 200; a proxy takes the services that it works with");
+    s.Fail("services", "more than 200; list only the services that this proxy serves");
   feed.snapshot_rate = s.Number("whole_bytes_per_s", 20'000, 1'000, 1e9);
   s.RejectUnknownKeys();
   return feed;
@@ -155,11 +155,11 @@
   ControlOptions control;
   control.name = s.Text("name");
   if (!PlainName(control.name) || control.name.find_first_of(",/=?#") != std::string::npos)
-    s.Fail("name", "is missing or not a plain word; name this machine, as no other is named");
+    s.Fail("name", "is missing or not a plain word; give this machine a name of its own");
   control.bind = Address(s, "bind", s.Text("bind"));
   if (control.bind.address >> 24 != kLoopbackNet)
-    s.Fail("bind", "is not a loopback address; the feed has no keys yet, so nothing else is bound");
-  control.others = ControlMachines(s, "others");
+    s.Fail("bind", "is not a loopback address; the feed is not authenticated, so only loopback is bound");
+  control.others = ConfigServerAddresses(s, "others");
   control.origin = s.Text("origin");
   control.snapshot_slots = s.Count("places", control.snapshot_slots, 1, 1'000);
   s.RejectUnknownKeys();
@@ -205,7 +205,7 @@
         std::filesystem::path(named).is_absolute() ? std::filesystem::path(named) : folder / named;
     struct stat info {};
     if (::stat(key.c_str(), &info) == 0 && (info.st_mode & 077) != 0) {
-      throw std::runtime_error("others than its owner may use it; chmod 600 it");
+      throw std::runtime_error("is accessible to other users; restrict it with chmod 600");
     }
     return Slurp(key.string());
   });
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -99,7 +99,7 @@
   const Json::Value& list = Member(object, name);
   if (!list.isArray()) throw ConfigError(std::string(name) + " is not a list");
   for (const Json::Value& value : list) {
-    if (!value.isString()) throw ConfigError(std::string(name) + " holds something that is not a string");
+    if (!value.isString()) throw ConfigError(std::string(name) + " contains an element that is not a string");
     all.push_back(value.asString());
   }
   return all;
--- a/src/config/section.cpp
+++ b/src/config/section.cpp
@@ -9,7 +9,7 @@
     return toml::parse(text);
   } catch (const toml::parse_error& e) {
     throw OperatorError(name + ":" + std::to_string(e.source().begin.line) +
-                        ": not TOML: " + std::string(e.description()) + "; mend the line");
+                        ": not TOML: " + std::string(e.description()) + "; correct the line");
   }
 }
 
@@ -63,7 +63,7 @@
   if (array == nullptr) Fail(key, "is neither a string nor a list of strings");
   std::vector<std::string> words;
   for (const toml::node& entry : *array) {
-    if (!entry.is_string()) Fail(key, "holds something that is not a string");
+    if (!entry.is_string()) Fail(key, "contains an element that is not a string");
     words.push_back(*entry.value<std::string>());
   }
   return words;
@@ -99,7 +99,7 @@
 void Section::RejectUnknownKeys() const {
   for (const auto& [key, node] : table_) {
     if (read_keys_.count(std::string(key.str())) == 0)
-      Fail(key.str(), "is not known here; remove it or mend its name");
+      Fail(key.str(), "is not a known key; remove it or correct its name");
   }
 }
 
--- a/src/config_feed/origin_file.cpp
+++ b/src/config_feed/origin_file.cpp
@@ -35,7 +35,7 @@
 OriginFile::Line OriginFile::ParseLine(std::string_view text, std::size_t number) const {
   const auto root = ParseStrictJson(text);
   if (!root || !root->isObject()) {
-    Fail(number, "", "is no JSON object; write one entry a line, or remove the line");
+    Fail(number, "", "is not a JSON object; write one entry a line, or remove the line");
   }
   Line line;
   line.text = text;
@@ -48,13 +48,14 @@
   const auto key = ParseKey(line.key);
   if (!key || key->kind != (*root)["kind"].asString() || key->service != (*root)["service"].asString()) {
     Fail(number, line.key.substr(0, kMaxKeyInMessage),
-         "is no key; kind, service and name are 1 to 120 printable characters, the first two without '/'");
+         "is not a valid key; kind, service and name are 1 to 120 printable characters, the first two "
+         "without '/'");
   }
   if (!root->isMember("value")) {
     Fail(number, line.key, "value is missing; add it, or remove the line to remove the entry");
   }
   if (root->size() != kLineMembers) {
-    Fail(number, line.key, "has a member that is not known here; leave kind, service, name, value");
+    Fail(number, line.key, "has an unknown member; keep only kind, service, name, value");
   }
   line.value = WriteCompactJson((*root)["value"]);
   if (line.value.size() > kMaxValueSize) {
@@ -94,7 +95,7 @@
   for (std::size_t number = 1; !text.empty(); ++number) {
     const std::string_view line = text.substr(0, text.find('\n'));
     if (line.size() == text.size()) {
-      Fail(number, "", "does not end in a newline; the file is cut short, write it whole");
+      Fail(number, "", "does not end in a newline; the file is truncated, write it in full");
     }
     text.remove_prefix(line.size() + 1);
     if (line.empty()) continue;
@@ -111,7 +112,7 @@
 void OriginFile::ScanEntry(std::string_view line, std::size_t number, Scan* scan) const {
   const auto [earlier, is_first] = scan->lines.emplace(line, number);
   if (!is_first) {
-    Fail(number, "", "says the same as line " + std::to_string(earlier->second) + "; remove one of them");
+    Fail(number, "", "repeats the entry of line " + std::to_string(earlier->second) + "; remove one of them");
   }
   if (scan->lines.size() > kMaxEntries) Fail(number, "", "more than 1000000 entries; split the fleet");
   if (lines_.count(std::string(line)) != 0) {
@@ -134,10 +135,10 @@
     const auto [earlier, is_first] = line_of.emplace(line.key, line.number);
     if (!is_first) {
       Fail(line.number, line.key,
-           "stands on line " + std::to_string(earlier->second) + " too; remove one of them");
+           "is also on line " + std::to_string(earlier->second) + "; remove one of them");
     }
     const bool on_kept_line = entries_.count(line.key) != 0 && changed.count(line.key) == 0;
-    if (on_kept_line) Fail(line.number, line.key, "stands on another line too; remove one of them");
+    if (on_kept_line) Fail(line.number, line.key, "is also on another line; remove one of them");
     changed[line.key] = line.value;
   }
   return changed;
--- a/src/config_feed/values.cpp
+++ b/src/config_feed/values.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kMaxQuota = 1e9;
 constexpr double kMaxClientWait = 3.6e9;  // an hour, in microseconds
-constexpr const char* kNoObject = "value is no JSON object";
+constexpr const char* kNoObject = "value is not a JSON object";
 
 std::optional<Json::Value> ParseObject(std::string_view json) {
   auto value = ParseStrictJson(json);
--- a/src/control_server/feed_server.cpp
+++ b/src/control_server/feed_server.cpp
@@ -127,7 +127,7 @@
         Write(200, config_feed::WritePage(response.page), 0, "application/json");
         break;
       case Response::Kind::kBusy:
-        RespondWithError({503, "no place for a whole now", response.retry_after});
+        RespondWithError({503, "too many complete states are being sent; retry later", response.retry_after});
         break;
       case Response::Kind::kBehind:
         RespondWithError({409, "this machine is behind"});
--- a/src/control_server/origin_publisher.cpp
+++ b/src/control_server/origin_publisher.cpp
@@ -111,14 +111,14 @@
     case PublishResult::kSerialTooLow:
       log_.Write(
           Log::Level::kWarn,
-          "origin: %s: serial %llu is below the fleet's, %llu: this machine follows; bring the file up to "
-          "date and raise it",
+          "origin: %s: serial %llu is below the fleet's, %llu: the file is not published; bring it up to "
+          "date and raise its serial",
           path_.c_str(), serial, static_cast<unsigned long long>(serial_before));
       break;
     case PublishResult::kSerialReused:
       log_.Write(Log::Level::kWarn,
-                 "origin: %s: serial %llu is in force with other entries: this machine follows; raise it if "
-                 "this file is the right one",
+                 "origin: %s: serial %llu is in force with other entries: the file is not published; "
+                 "raise its serial if this file is the right one",
                  path_.c_str(), serial);
       break;
     case PublishResult::kNotSettled:
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -147,7 +147,7 @@
   void OnRejected(Micros retry_after) override {
     SendStatus(503, "overloaded, try again later", retry_after);
   }
-  void OnFailed() override { SendStatus(502, "no worker answered", 0); }
+  void OnFailed() override { SendStatus(502, "no server responded", 0); }
   bool ClientHasDisconnected() const override { return socket.PeerHasClosed(); }
 
   // Closes the socket; an open request counts as abandoned by its client.
@@ -186,7 +186,8 @@
       socket.output().Append("HTTP/1.1 100 Continue\r\n\r\n");
       socket.Flush();
     }
-    if (!parser_.done() && pipeline_overflow_) return Reject(413, "too much was sent ahead of an answer");
+    if (!parser_.done() && pipeline_overflow_)
+      return Reject(413, "too much data was sent before the response");
     if (!parser_.done() || !socket.open()) return;
     std::size_t buffered = parser_.buffered();
     http::MessageRef request = parser_.TakeMessage();
@@ -207,9 +208,9 @@
     if (request->method() != "GET" && request->method() != "POST") {
       return Reject(405, "only GET and POST are served");
     }
-    if (request->target().front() != '/') return Reject(400, "the target is no path");
+    if (request->target().front() != '/') return Reject(400, "the request target is not a path");
     for (std::string_view name : kSingletonHeaders) {
-      if (request->Count(name) > 1) return Reject(400, "a header that must stand once is doubled");
+      if (request->Count(name) > 1) return Reject(400, "a header that may appear only once is repeated");
     }
     auto entry = listener_.class_by_name_.find(std::string(request->Find("Request-Class").value_or("")));
     if (entry == listener_.class_by_name_.end()) return Reject(400, "Request-Class is missing or unknown");
@@ -222,11 +223,11 @@
     bool keyed = !request->Find("Idempotency-Key").value_or("").empty();
     if ((request->method() == "GET") != safe || keyed != (effect == balancer::Effect::kKeyed) ||
         (safe && !request->body().empty())) {
-      return Reject(400, "method, key or body do not go with the class");
+      return Reject(400, "the class does not allow this method, key or body");
     }
     // A second open request with the same id would be the same request to a server.
     if (!listener_.open_request_ids_.insert(request_id_).second)
-      return Reject(409, "a call with this Request-Id is open");
+      return Reject(409, "a request with this Request-Id is still open");
     IncomingRequest incoming;
     incoming.request_class = listener_.options_.routed_as[index];
     auto tenant = listener_.tenant_by_name_.find(std::string(request->Find("Tenant").value_or("")));
@@ -419,7 +420,7 @@
     int value = 0;
     socklen_t size = sizeof value;
     if (::getsockopt(fd, SOL_SOCKET, name, &value, &size) != 0) {
-      throw std::system_error(errno, std::generic_category(), "BALANCER_SOCKET_FD is no socket");
+      throw std::system_error(errno, std::generic_category(), "BALANCER_SOCKET_FD is not a socket");
     }
     return value;
   };
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -219,8 +219,8 @@
     }
     keys.push_back(*key);
   }
-  if (keys.empty()) return Failure{KeyFileError{"holds no key; make one with 'dappletiller fleet key'"}};
-  if (keys.size() > kMaxKeys) return Failure{KeyFileError{"holds more than two keys; remove the oldest"}};
+  if (keys.empty()) return Failure{KeyFileError{"contains no key; make one with 'dappletiller fleet key'"}};
+  if (keys.size() > kMaxKeys) return Failure{KeyFileError{"contains more than two keys; remove the oldest"}};
   return keys;
 }
 
--- a/src/simulator_adapter/wire_codec.cpp
+++ b/src/simulator_adapter/wire_codec.cpp
@@ -135,7 +135,7 @@
   update.kind = static_cast<EndpointListUpdate::Kind>(how);
   in.Get<std::uint64_t>("gen");
   auto n = in.Get<std::uint32_t>("items");
-  if (n > in.remaining() / kEntrySize) throw Error("PEERS_KNOWN counts more entries than the batch holds");
+  if (n > in.remaining() / kEntrySize) throw Error("PEERS_KNOWN counts more entries than the batch contains");
   update.entries.reserve(n);
   for (std::uint32_t i = 0; i < n; ++i) {
     ServerEntry e;
@@ -362,10 +362,10 @@
       instance = in.Get<std::uint16_t>("ON");
       continue;
     }
-    if (instance < 0) throw Error("an event comes before any ON");
+    if (instance < 0) throw Error("an event precedes the first ON");
     records.push_back({static_cast<std::uint16_t>(instance), DecodeRecord(code, in)});
   }
-  if (in.remaining() > 0) throw Error("the batch goes on after its last record");
+  if (in.remaining() > 0) throw Error("the batch has data after its last record");
   return records;
 }
 
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -50,8 +50,7 @@
   double max_load = 0;     // largest load in any window, as a fraction of what is allowed
   double budget_used = 0;  // fraction of the budget used over the whole slow start
   int requests_sent = 0;
-  double within_objective =
-      0;  // fraction of the requests answered within the objective since the server started
+  double within_objective = 0;  // fraction of requests answered within the objective since the start
 };
 
 class FleetSimulation {
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -78,23 +78,23 @@
   };
   const Row rows[] = {
       {"[fleet\n", "f.toml:1: not TOML"},
-      {"logs = \"json\"\n", "f.toml:1: logs: is not known here; remove it"},
+      {"logs = \"json\"\n", "f.toml:1: logs: is not a known key; remove it"},
       {"log = \"xml\"\n", "f.toml:1: log: 'xml' is unknown; give one of text, json"},
       {"fleet = 3\n", "f.toml:1: fleet: is not a section; write [fleet]"},
       {"[fleet]\nbind = \"127.0.0.1:0\"\n", "f.toml:1: fleet.name: is missing"},
-      {"[settings_feed]\n", "f.toml:1: settings_feed.machines: is missing; give the control machines"},
+      {"[settings_feed]\n", "f.toml:1: settings_feed.machines: is missing; give the nearby config servers"},
       {"[settings_feed]\nmachines = \"x\"\n", "f.toml:2: settings_feed.machines: 'x' is not an address"},
       {"[settings_feed]\nmachines = \"10.0.0.4:1\"\n", "10.0.0.4:1 is not a loopback address"},
       {"[settings_feed]\nmachines = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\n",
-       "names a machine twice; remove one"},
+       "contains an address twice; remove one"},
       {"[settings_feed]\nmachines = \"127.0.0.1:1\"\nothers = \"127.0.0.1:1\"\n",
-       "f.toml:3: settings_feed.others: 127.0.0.1:1 is among machines already"},
+       "f.toml:3: settings_feed.others: 127.0.0.1:1 is already in machines"},
       {"[settings_feed]\nmachines = \"127.0.0.1:1\"\nservices = [\"a,b\"]\n",
        "f.toml:3: settings_feed.services: 'a,b' is not a service's name"},
       {"[settings_feed]\nmachines = \"127.0.0.1:1\"\nwhole_bytes_per_s = 1\n",
        "f.toml:3: settings_feed.whole_bytes_per_s: is out of range"},
       {"[settings_feed]\nmachines = \"127.0.0.1:1\"\nservice = \"a\"\n",
-       "f.toml:3: settings_feed.service: is not known here"},
+       "f.toml:3: settings_feed.service: is not a known key"},
       {"[control]\nbind = \"127.0.0.1:1\"\n", "f.toml:1: control.name: is missing"},
       {"[control]\nname = \"c\"\nbind = \"0.0.0.0:1\"\n",
        "f.toml:3: control.bind: is not a loopback address"},
@@ -103,7 +103,7 @@
       {"[fleet]\nname = \"f\"\nbind = \"localhost:1\"\n",
        "f.toml:3: fleet.bind: 'localhost:1' is not an address"},
       {"[fleet]\nname = \"f\"\nbind = \"10.0.0.4:1\"\n",
-       "fleet.key_file: is missing, and without a key nothing but loopback"},
+       "fleet.key_file: is missing; without a key only loopback may be bound"},
       {"[fleet]\nname = \"f\"\nbind = \"0.0.0.0:1\"\nkey_file = \"key\"\n", "fleet.advertise: is needed"},
       {kFine + "key_file = \"short\"\n",
        "f.toml:4: fleet.key_file: short: line 1 is not 64 hexadecimal digits"},
@@ -119,7 +119,7 @@
       {kFine + "[fleet.parts]\nkeepers = []\n", "f.toml:5: fleet.parts.keepers: give 1 to 7 members"},
       {kFine + "[fleet.parts]\nkeepers = [\"a\", \"a\"]\n", "each once"},
       {kFine + "[fleet.parts]\nkeepers = [\"a\"]\nleese_ms = 1\n",
-       "f.toml:6: fleet.parts.leese_ms: is not known here"},
+       "f.toml:6: fleet.parts.leese_ms: is not a known key"},
   };
   for (const Row& row : rows) {
     CAPTURE(row.text);
@@ -144,7 +144,7 @@
   CHECK(error(fleet + "[[fault]]\ndo = \"explode\"\n")
             .rfind("s.toml:4: fault.do: 'explode' is unknown; give one of loss", 0) == 0);
   CHECK(error(fleet + "[[fault]]\ndo = \"loss\"\nvalue = 30\n").find("s.toml:5: fault.value: a chance") == 0);
-  CHECK(error(fleet + "[[expect]]\nthat = \"whole\"\nwithn = 3\n").find("expect.withn: is not known here") !=
+  CHECK(error(fleet + "[[expect]]\nthat = \"whole\"\nwithn = 3\n").find("expect.withn: is not a known key") !=
         std::string::npos);
   std::vector<std::string> all = {"p1", "p2", "p2+", "p3", "p10", "w1", "discovery"};
   CHECK(rig::Select({"p2-p3"}, all) == std::vector<std::string>{"p2", "p3"});
--- a/tests/config_feed/process_test.cpp
+++ b/tests/config_feed/process_test.cpp
@@ -217,7 +217,7 @@
   REQUIRE(fleet.AllHold(2));
   CHECK(Get(port, request).find(" 503 ") != std::string::npos);  // known, but there is no server
   CHECK(fleet.proxies[0]->Says("settings feed: serial 2 in force"));
-  CHECK(fleet.proxies[0]->Says("class fresh is new"));
+  CHECK(fleet.proxies[0]->Says("class fresh added; routed as class"));
   // A proxy receives nothing outside its scope, but its serial advances.
   fleet.folder.Write("origin.jsonl", "{\"serial\": 3}\n" + OriginFile(0, "2", kFresh).substr(14) +
                                          R"({"kind":"route","service":"plan-8","name":"/x","value":{}})"
@@ -258,7 +258,7 @@
     REQUIRE(fleet.Holds(p, "\"current\":false"));
     CHECK(fleet.Status(p).find("\"serial\":3,") != std::string::npos);
     CHECK(fleet.proxies[static_cast<std::size_t>(p)]->Says(
-        "no control machine answers; serial 3 stays in force"));
+        "no config server responds; serial 3 stays in force"));
   }
   // The stopped server resumes with its old state: it is behind, and no follower goes back to it.
   fleet.servers[2]->Signal(SIGCONT);
@@ -291,7 +291,7 @@
   fleet.servers[0]->End(SIGKILL);
   fleet.folder.Write("old.jsonl", OriginFile(2, "2"));
   fleet.StartMachine(0, "old.jsonl");
-  CHECK(fleet.servers[0]->Says("serial 2 is below the fleet's, 5: this machine follows"));
+  CHECK(fleet.servers[0]->Says("serial 2 is below the fleet's, 5: the file is not published"));
   CHECK(fleet.servers[0]->Says("serial 5 in force"));
   // Another server becomes the origin and continues with deltas.
   fleet.servers[1]->End(SIGTERM);
--- a/tests/net/many_clients_test.cpp
+++ b/tests/net/many_clients_test.cpp
@@ -51,16 +51,16 @@
   Serve(fixture, server, returning, "f0");
   TestConnection once = fixture.ConnectClient();
   Serve(fixture, server, once, "o0");
-  std::vector<TestConnection> crowd;
+  std::vector<TestConnection> clients;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(fixture.ConnectClient());
+    clients.push_back(fixture.ConnectClient());
     for (int again = 0; again < 2; ++again) {
-      crowd.back().text.clear();
-      crowd.back().Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-      fixture.WaitForData(crowd.back(), "HTTP/1.1 200 ");
+      clients.back().text.clear();
+      clients.back().Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+      fixture.WaitForData(clients.back(), "HTTP/1.1 200 ");
     }
   }
-  CHECK(crowd.front().IsClosed());
+  CHECK(clients.front().IsClosed());
   CHECK_FALSE(returning.IsClosed());
   CHECK_FALSE(once.IsClosed());
   Serve(fixture, server, returning, "f1");
@@ -70,16 +70,16 @@
 // 900 new connections per second.
 TEST_CASE("a new client among many gets time for its first request") {
   ProxyFixture fixture(TestSettings(), kBound, 12, 4, 8);
-  std::vector<TestConnection> crowd;
+  std::vector<TestConnection> clients;
   for (int i = 0; i < 12; ++i) {
-    crowd.push_back(fixture.ConnectClient());
-    crowd.back().Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    fixture.WaitForData(crowd.back(), "HTTP/1.1 200 ");
+    clients.push_back(fixture.ConnectClient());
+    clients.back().Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    fixture.WaitForData(clients.back(), "HTTP/1.1 200 ");
   }
   // All of these are in the accept queue in the same round.
   std::vector<TestConnection> new_clients;
   for (int i = 0; i < 6; ++i) new_clients.push_back(fixture.ConnectClient());
-  fixture.WaitUntil("six clients are disconnected", [&] { return crowd[5].IsClosed(); });
+  fixture.WaitUntil("six clients are disconnected", [&] { return clients[5].IsClosed(); });
   for (TestConnection& client : new_clients) CHECK_FALSE(client.IsClosed());
 }
 
--- a/tests/net/request_handling_test.cpp
+++ b/tests/net/request_handling_test.cpp
@@ -529,13 +529,13 @@
   client.Send(SafeRequest("a1"));
   fixture.WaitForRequest(server, "a1").Send(Response(200, "one"));
   fixture.WaitForData(client, "one");
-  std::vector<TestConnection> crowd;
+  std::vector<TestConnection> client_connections;
   for (int i = 0; i < 12; ++i) {
-    crowd.push_back(fixture.ConnectClient());
+    client_connections.push_back(fixture.ConnectClient());
     fixture.loop.RunOnce(0);
   }
   fixture.WaitUntil("the first of them are disconnected",
-                    [&] { return crowd[0].IsClosed() && crowd[4].IsClosed(); });
+                    [&] { return client_connections[0].IsClosed() && client_connections[4].IsClosed(); });
   CHECK(fixture.upstream_pool.connections() == 1);
   CHECK(fixture.descriptors.used() <= 6);
 }
@@ -1004,10 +1004,10 @@
   ProxyFixture fixture;  // only for its bounded waits
   std::uint16_t console = ReadPort(fixture, program, "console on port ");
   std::uint16_t port = ReadPort(fixture, program, "started as n0 on port ");
-  std::vector<TestConnection> crowd, console_connections;
+  std::vector<TestConnection> client_connections, console_connections;
   for (int i = 0; i < 80; ++i) {
-    crowd.push_back(TestConnection::Connect(port));
-    crowd.back().Send(SafeRequest("a" + std::to_string(i)));
+    client_connections.push_back(TestConnection::Connect(port));
+    client_connections.back().Send(SafeRequest("a" + std::to_string(i)));
   }
   fixture.WaitUntil("all connections are in use",
                     [&] { return program.ReadLog().find("connections in use") != std::string::npos; });
--- a/tests/rig/scale_script_test.cpp
+++ b/tests/rig/scale_script_test.cpp
@@ -63,7 +63,7 @@
             .find("s.toml:4: scale.servers_by_zone: the zones don't add up: 3 zones with 13 servers") == 0);
   CHECK(Refused("[scale]\nzones = 3\nservers_by_zone = [60, 60]\n").find("s.toml:3: scale.servers_by_zone") ==
         0);
-  CHECK(Refused("[scale]\nhollows = 3\n").find("s.toml:2: scale.hollows: is not known here") == 0);
+  CHECK(Refused("[scale]\nhollows = 3\n").find("s.toml:2: scale.hollows: is not a known key") == 0);
   CHECK(Refused("[scale]\nseconds = 5\n").find("s.toml:2: scale.seconds: is too short") == 0);
   CHECK(Refused("[scale]\n[[event]]\ndo = \"zone-lost\"\nat = 50\nfor = 9\n")
             .find("s.toml:4: event.at: it ends "
