--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -25,19 +25,19 @@
 namespace {
 
 constexpr const char* kVersion = "dappletiller 0.1.0";
-constexpr int kPatience = 2;  // seconds; a console answers within one
+constexpr int kTimeoutSeconds = 2;  // the console responds within a second
 
-struct Answer {
+struct ConsoleResponse {
   int status = 0;  // 0: none
   std::string body;
 };
 
-// One call of a console, as the operators' tools make it: plain blocking sockets with a time-out.
-Answer Call(const std::string& where, const std::string& method, const std::string& target) {
+// Sends one request to a console, with blocking sockets and a timeout.
+ConsoleResponse SendRequest(const std::string& where, const std::string& method, const std::string& target) {
   auto endpoint = ParseEndpoint(where);
   if (!endpoint) return {};
   FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  timeval patience{kPatience, 0};
+  timeval patience{kTimeoutSeconds, 0};
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
   sockaddr_in to{};
@@ -45,29 +45,30 @@
   to.sin_addr.s_addr = htonl(endpoint->address);
   to.sin_port = htons(endpoint->port);
   if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) return {};
-  std::string ask = method + " " + target + " HTTP/1.1\r\nHost: console\r\nConnection: close\r\n\r\n";
-  if (::send(fd.get(), ask.data(), ask.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(ask.size())) return {};
+  std::string request = method + " " + target + " HTTP/1.1\r\nHost: console\r\nConnection: close\r\n\r\n";
+  if (::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(request.size()))
+    return {};
   std::string text;
   std::array<char, 16384> bytes;
   for (ssize_t n; (n = ::recv(fd.get(), bytes.data(), bytes.size(), 0)) > 0;) {
     text.append(bytes.data(), static_cast<std::size_t>(n));
   }
-  // "HTTP/1.1 200 OK", head, empty line, body: the console closes after each answer.
+  // Status line, headers, empty line, body: the console closes the connection after each response.
   std::size_t end = text.find("\r\n\r\n");
   if (text.size() < 12 || end == std::string::npos) return {};
   return {std::atoi(text.c_str() + 9), text.substr(end + 4)};
 }
 
-int Told(const std::string& where, const Answer& answer) {
-  if (answer.status == 0) {
+int Told(const std::string& where, const ConsoleResponse& response) {
+  if (response.status == 0) {
     std::fprintf(stderr,
                  "dappletiller: no answer from the console at %s; is it a console's address, and does the "
                  "process run?\n",
                  where.c_str());
     return 1;
   }
-  if (answer.status >= 300) {
-    std::fprintf(stderr, "dappletiller: %d: %s", answer.status, answer.body.c_str());
+  if (response.status >= 300) {
+    std::fprintf(stderr, "dappletiller: %d: %s", response.status, response.body.c_str());
     return 1;
   }
   return 0;
@@ -81,15 +82,15 @@
 }
 
 int Members(const std::string& where, bool json) {
-  Answer answer = Call(where, "GET", "/_fleet");
-  if (int failed = Told(where, answer)) return failed;
+  ConsoleResponse response = SendRequest(where, "GET", "/_fleet");
+  if (int failed = Told(where, response)) return failed;
   if (json) {
-    std::fputs(answer.body.c_str(), stdout);
+    std::fputs(response.body.c_str(), stdout);
     return 0;
   }
   Json::Value root;
-  if (!Parse(answer.body, &root)) {
-    std::fprintf(stderr, "dappletiller: %s answered something that is not a view\n", where.c_str());
+  if (!Parse(response.body, &root)) {
+    std::fprintf(stderr, "dappletiller: the response of %s is not a membership view\n", where.c_str());
     return 1;
   }
   std::printf("%-20s %-10s %-8s %-22s %12s  %s\n", "member", "state", "zone", "address", "incarnation",
@@ -107,14 +108,14 @@
   return 0;
 }
 
-// Prints changes as they come, until interrupted; ends with 1 once the console no longer answers.
+// Prints changes until interrupted; returns 1 if the console stops responding.
 int WatchMembers(const std::string& where, int limit) {
   std::uint64_t after = 0;
   for (int round = 0; limit == 0 || round < limit; ++round) {
-    Answer answer = Call(where, "GET", "/_fleet?after=" + std::to_string(after));
-    if (int failed = Told(where, answer)) return failed;
+    ConsoleResponse response = SendRequest(where, "GET", "/_fleet?after=" + std::to_string(after));
+    if (int failed = Told(where, response)) return failed;
     Json::Value root;
-    if (!Parse(answer.body, &root)) return 1;
+    if (!Parse(response.body, &root)) return 1;
     for (const Json::Value& e : root["events"]) {
       after = std::max<std::uint64_t>(after, e["number"].asUInt64());
       std::printf("%8.1f s ago  %s %s: %s\n", e["ago_ms"].asDouble() / 1000, e["name"].asCString(),
@@ -126,24 +127,24 @@
   return 0;
 }
 
-// What of the settings feed is in force in a running proxy; ends with 1 where it has none, or is cut off.
+// Prints the settings in force in a running proxy; returns 1 if it follows no feed or is disconnected from
+// it.
 int SettingsStatus(const std::string& where, bool json) {
-  Answer answer = Call(where, "GET", "/_settings");
-  if (int failed = Told(where, answer)) return failed;
+  ConsoleResponse response = SendRequest(where, "GET", "/_settings");
+  if (int failed = Told(where, response)) return failed;
   Json::Value root;
-  if (!Parse(answer.body, &root)) {
-    std::fprintf(stderr, "dappletiller: %s answered something that is no state of the settings\n",
-                 where.c_str());
+  if (!Parse(response.body, &root)) {
+    std::fprintf(stderr, "dappletiller: the response of %s is not a settings state\n", where.c_str());
     return 1;
   }
   bool current = root["current"].asBool();
   if (json) {
-    std::fputs(answer.body.c_str(), stdout);
+    std::fputs(response.body.c_str(), stdout);
     return current ? 0 : 1;
   }
   std::printf("serial %s in force, %s entries; %s %s", root["serial"].asString().c_str(),
               root["entries"].asString().c_str(),
-              current ? "follows" : "NO CONTROL MACHINE ANSWERS, last asked", root["machine"].asCString());
+              current ? "follows" : "NO CONFIG SERVER RESPONDS, last asked", root["machine"].asCString());
   if (root["answered_ago_ms"].asInt64() >= 0)
     std::printf(", whole as of %.1f s ago", root["answered_ago_ms"].asDouble() / 1000);
   std::printf("\n");
@@ -154,9 +155,10 @@
   try {
     operators::OperatorFile file = operators::LoadOperatorFile(path);
     std::printf("%s: fine; %s%s%s\n", path.c_str(),
-                file.fleet ? ("member of fleet " + file.fleet->name).c_str() : "no [fleet]: no view is kept",
+                file.fleet ? ("member of fleet " + file.fleet->name).c_str()
+                           : "no [fleet] section: the process does not join a fleet",
                 file.settings_feed ? "; follows the settings feed" : "",
-                file.control ? ("; control machine " + file.control->name).c_str() : "");
+                file.control ? ("; config server " + file.control->name).c_str() : "");
     return 0;
   } catch (const operators::OperatorError& e) {
     std::fprintf(stderr, "%s\n", e.what());
@@ -178,20 +180,19 @@
   CLI::App* serve = app.add_subcommand("serve", "serve, with an operator file");
   serve->add_option("--operator", file, "the operator file (TOML)")->required();
 
-  CLI::App* control =
-      app.add_subcommand("control", "serve the settings feed, as one of its control machines");
+  CLI::App* control = app.add_subcommand("control", "serve the settings feed, as one of its config servers");
   control->add_option("--operator", file, "the operator file (TOML) with [control]")->required();
 
-  CLI::App* check = app.add_subcommand("check", "look an operator file over; 0: fine, 2: not");
+  CLI::App* check = app.add_subcommand("check", "check an operator file; exit status 0: valid, 2: invalid");
   check->add_option("file", file, "the operator file (TOML)")->required();
 
   std::string console = "127.0.0.1:8081";
   if (const char* at = std::getenv("BALANCER_CONSOLE"); at != nullptr && *at != '\0') console = at;
-  CLI::App* fleet = app.add_subcommand("fleet", "the view of the fleet that a running process keeps");
+  CLI::App* fleet = app.add_subcommand("fleet", "show and change the fleet membership of a running process");
   fleet->require_subcommand(1);
   fleet->add_option("--console", console, "the process's console (or $BALANCER_CONSOLE)")
       ->capture_default_str();
-  CLI::App* members = fleet->add_subcommand("members", "who is in the fleet, and how each is doing");
+  CLI::App* members = fleet->add_subcommand("members", "list the members of the fleet and their states");
   bool json = false;
   members->add_flag("--json", json, "as the console gives it");
   CLI::App* watch = fleet->add_subcommand("watch", "changes as they come");
@@ -199,13 +200,13 @@
   watch->add_option("--rounds", rounds, "end after so many looks, half a second apart (0: never)")
       ->check(CLI::Range(0, 1'000'000));
   CLI::App* leave = fleet->add_subcommand("leave", "have the process leave the fleet and serve on alone");
-  CLI::App* reap = fleet->add_subcommand("reap", "say that a dead member will not come back");
+  CLI::App* reap = fleet->add_subcommand("reap", "remove a dead member that will not come back");
   std::string name;
   reap->add_option("name", name, "the member")->required();
   CLI::App* key = fleet->add_subcommand("key", "print a new key for key_file");
 
   CLI::App* settings =
-      app.add_subcommand("settings", "what of the settings feed is in force in a running process");
+      app.add_subcommand("settings", "show which settings of the feed are in force in a running process");
   settings->add_option("--console", console, "the process's console (or $BALANCER_CONSOLE)")
       ->capture_default_str();
   settings->add_flag("--json", json, "as the console gives it");
@@ -225,11 +226,11 @@
   }
   if (*members) return Members(console, json);
   if (*watch) return WatchMembers(console, rounds);
-  Answer answer;
-  if (*leave) answer = Call(console, "PUT", "/_fleet/leave");
-  if (*reap) answer = Call(console, "PUT", "/_fleet/reap?who=" + name);
-  if (int failed = Told(console, answer)) return failed;
-  std::fputs(answer.body.c_str(), stdout);
+  ConsoleResponse response;
+  if (*leave) response = SendRequest(console, "PUT", "/_fleet/leave");
+  if (*reap) response = SendRequest(console, "PUT", "/_fleet/reap?who=" + name);
+  if (int failed = Told(console, response)) return failed;
+  std::fputs(response.body.c_str(), stdout);
   return 0;
 }
 
--- a/src/control_server/origin_publisher.cpp
+++ b/src/control_server/origin_publisher.cpp
@@ -71,7 +71,7 @@
 // ---- Publishing ----
 
 std::vector<Change> OriginPublisher::ChangesSince(Baseline baseline) const {
-  // What a reading that was not published said has to be said now.
+  // An earlier reading was not published, so its changes are included now.
   const bool compare_with_store = baseline == Baseline::kWholeStore || has_unpublished_reading_;
   return compare_with_store ? file_.DifferencesTo(config_server_.store()) : last_changes_;
 }
@@ -106,19 +106,19 @@
                 config_server_.store().size());
       break;
     case PublishResult::kUnchanged:
-      if (serial_before != 0) log_.Info("origin: serial %llu is what all hold", serial);
+      if (serial_before != 0) log_.Info("origin: serial %llu is already held by all replicas", serial);
       break;
     case PublishResult::kSerialTooLow:
       log_.Write(
           Log::Level::kWarn,
-          "origin: %s: serial %llu is below the fleet's, %llu: this machine follows; bring the file up to "
-          "date and raise it",
+          "origin: %s: serial %llu is below the fleet's, %llu: the file is not published; bring it up to "
+          "date and raise its serial",
           path_.c_str(), serial, static_cast<unsigned long long>(serial_before));
       break;
     case PublishResult::kSerialReused:
       log_.Write(Log::Level::kWarn,
-                 "origin: %s: serial %llu is in force with other entries: this machine follows; raise it if "
-                 "this file is the right one",
+                 "origin: %s: serial %llu is in force with other entries: the file is not published; "
+                 "raise its serial if this file is the right one",
                  path_.c_str(), serial);
       break;
     case PublishResult::kNotSettled:
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -8,11 +8,10 @@
 namespace {
 
 constexpr std::size_t kOwnDescriptors = 16 + Console::kMaxConnections;
-constexpr std::size_t kReservedDivisor = 8;  // one in so many connections is reserved for clients
-constexpr std::size_t kSlotsDivisor =
-    3;  // one in so many descriptors is the most that clients hold for requests
-// One in so many bytes of the process's memory is the most that long bodies take; a buffer that grows may be
-// up to twice as large as what it holds.
+constexpr std::size_t kReservedDivisor = 8;  // one in this many connections is reserved for clients
+constexpr std::size_t kSlotsDivisor = 3;     // clients may use one in this many descriptors for requests
+// Long bodies may use one in this many bytes of the process's memory. A growing buffer may be up to twice as
+// large as its contents.
 constexpr std::size_t kLongBodiesDivisor = 8;
 
 }  // namespace
@@ -26,11 +25,11 @@
   ListenerOptions options;
   options.long_bodies = std::move(long_bodies);
   options.listen = config.listen;
-  options.places = ClientConnectionSlots(config);
+  options.connection_slots = ClientConnectionSlots(config);
   options.classes = config.classes;
   options.tenants = config.tenants;
   for (const auto& request_class : config.settings.classes) {
-    options.patience.push_back(request_class.deadline);
+    options.request_timeout.push_back(request_class.client_timeout);
     options.effects.push_back(request_class.effect);
   }
   return options;
@@ -40,12 +39,12 @@
 
 DiscoveryOptions MakeDiscoveryOptions(const Config& config) {
   DiscoveryOptions options;
-  options.where = config.discovery;
+  options.address = config.discovery;
   options.host = config.discovery_text;
   options.names = config.names;
   options.version = config.known.version;
-  options.ask_within = config.settings.ask_within;
-  options.pushed = !config.settings.list_on_request;
+  options.poll_interval = config.settings.poll_interval;
+  options.pushed = !config.settings.endpoints_on_request;
   options.seed = config.settings.seed;
   return options;
 }
--- a/src/proxy/settings_applier.cpp
+++ b/src/proxy/settings_applier.cpp
@@ -7,16 +7,16 @@
 namespace dappletiller {
 namespace {
 
-sandstand::Effect ToModuleEffect(config_feed::ClassEffect effect) {
+balancer::Effect ToModuleEffect(config_feed::ClassEffect effect) {
   switch (effect) {
     case config_feed::ClassEffect::kFree:
-      return sandstand::Effect::kSafe;
+      return balancer::Effect::kSafe;
     case config_feed::ClassEffect::kGuarded:
-      return sandstand::Effect::kKeyed;
+      return balancer::Effect::kKeyed;
     case config_feed::ClassEffect::kSingleShot:
       break;
   }
-  return sandstand::Effect::kUnsafe;
+  return balancer::Effect::kUnsafe;
 }
 
 }  // namespace
@@ -47,13 +47,13 @@
     LogUnreadable(entry, tenant.error().message);
     return;
   }
-  const int index = listener_.NameTenant(entry.name);
+  const int index = listener_.AddTenant(entry.name);
   if (index < 0) return;
   dispatcher_.SetTenant(index, true, {tenant->share, tenant->quota_per_second});
 }
 
 void SettingsApplier::RemoveTenant(const std::string& name) {
-  const int index = listener_.ForgetTenant(name);
+  const int index = listener_.RemoveTenant(name);
   if (index < 0) return;
   dispatcher_.SetTenant(index, false, {});
 }
@@ -66,11 +66,11 @@
     LogUnreadable(entry, value.error().message);
     return;
   }
-  listener_.Retune({entry.name}, {value->max_client_wait}, {ToModuleEffect(value->effect)});
+  listener_.UpdateClasses({entry.name}, {value->max_client_wait}, {ToModuleEffect(value->effect)});
 }
 
 void SettingsApplier::LogUnreadable(const config_feed::EffectiveEntry& entry, const std::string& why) {
-  log_.Info("settings feed: %s %s: %s; it keeps what it had", entry.kind.c_str(), entry.name.c_str(),
+  log_.Info("settings feed: %s %s: %s; keeping its previous value", entry.kind.c_str(), entry.name.c_str(),
             why.c_str());
 }
 
--- a/src/rig/hollow.cpp
+++ b/src/rig/hollow.cpp
@@ -81,7 +81,7 @@
       if (!parsed) ++refused_;
     }
     int place = places_.try_emplace(entry.name, static_cast<int>(places_.size())).first->second;
-    sandstand::TenantSettings share;
+    balancer::TenantSettings share;
     if (tenant) share = {tenant->share, tenant->quota_per_second};
     dispatcher_->SetTenant(place, tenant.has_value(), share);
   }
@@ -96,7 +96,7 @@
   void OnResponse(PayloadRef) override { Count(&hollow.world_.served); }
   void OnRejected(Micros) override { Count(&hollow.world_.refused); }
   void OnFailed() override { Count(&hollow.world_.failed); }
-  bool ClientHasLeft() const override { return false; }
+  bool ClientHasDisconnected() const override { return false; }
   void Count(std::uint64_t* what) {
     if (std::exchange(answered, true)) {
       ++hollow.world_.twice;
@@ -127,8 +127,8 @@
       config_(Placed(way.First(), options_)),
       dispatcher_(loop, log, config_.settings),
       discovery_(loop, log, dispatcher_,
-                 {options_.discovery, "discovery", config_.names, 0, config_.settings.ask_within,
-                  !config_.settings.list_on_request}),
+                 {options_.discovery, "discovery", config_.names, 0, config_.settings.poll_interval,
+                  !config_.settings.endpoints_on_request}),
       random_(options_.seed),
       next_(loop) {
   dispatcher_.Connect(*this, discovery_);
@@ -185,7 +185,7 @@
   if (place.told != 0 && now > place.told + window) ++world_.after_told;
   // The pages' clock: a change counts as told 6 s after discovery had it and could be reached.
   Micros had = std::max(server.drained, world_.reachable[static_cast<std::size_t>(options_.region)]);
-  if (server.drained != 0 && now > had + limits::WatchTimes::kToldAfter + window) ++world_.after_had;
+  if (server.drained != 0 && now > had + RetrySchedule::kNotifiedAfter + window) ++world_.after_had;
   bool drains = server.drained != 0;
   Micros takes = !server.runs ? kDial : drains ? kTurnsAway : world_.work;
   AttemptOutcome end = !server.runs ? AttemptOutcome::kUnreachable
--- a/tests/config_feed/change_cost.cpp
+++ b/tests/config_feed/change_cost.cpp
@@ -1,5 +1,5 @@
-// What one change costs a proxy: of the settings as a whole file, and of the list. Google Benchmark; figures
-// for docs/data, no verdicts. Run with --benchmark_format=json.
+// Cost of a single change for a proxy: of the settings as a file, and of the endpoint list. Google Benchmark,
+// for the figures in docs/data; checks nothing. Run with --benchmark_format=json.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -14,12 +14,12 @@
 #include "config_feed/origin_file.hpp"
 #include "config_feed/page_codec.hpp"
 #include "config_feed/values.hpp"
-#include "sandstand/balancer.hpp"
+#include "dappletiller/balancer.hpp"
 
 namespace dappletiller {
 namespace {
 
-// Tenants as a site's file names them: about 75 bytes each.
+// Tenants as in a settings file: about 75 bytes each.
 std::string ConfigText(int tenants) {
   std::string text =
       R"({"name":"p","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"sockets":256},)"
@@ -37,13 +37,13 @@
   return text + "]}}";
 }
 
-// What the heap holds now. Resident memory would tell of earlier rounds in the same process too.
+// Allocated heap memory. Resident memory would include earlier rounds in the same process.
 double HeapMegabytes() {
   struct mallinfo2 info = ::mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd) / 1e6;
 }
 
-// Reading the whole file, flattening it, and a module made with it: what a reload does.
+// Reads and flattens the whole file and creates a module with it, as a reload does.
 void WholeSettings(benchmark::State& state) {
   std::string text = ConfigText(static_cast<int>(state.range(0)));
   double before = HeapMegabytes(), after = 0;
@@ -51,7 +51,7 @@
     for (auto round : state) {
       (void)round;
       Config config = ParseConfig(text);
-      sandstand::Balancer module(config.settings);
+      balancer::Balancer module(config.settings);
       after = std::max(after, HeapMegabytes());
       benchmark::DoNotOptimize(module.ignored_events());
     }
@@ -69,29 +69,29 @@
     ->Arg(180'000)
     ->Unit(benchmark::kMillisecond);
 
-// One changed entry of the list, in the module.
+// One changed entry of the endpoint list, in the module.
 void ListChange(benchmark::State& state) {
-  sandstand::Settings settings;
-  settings.gateways = 1'900;
+  balancer::Settings settings;
+  settings.proxies = 1'900;
   settings.zones = 15;
-  sandstand::ClassSettings safe;
-  safe.aim = 200'000;
-  safe.deadline = 800'000;
-  safe.effect = sandstand::Effect::kSafe;
+  balancer::ClassSettings safe;
+  safe.latency_objective = 200'000;
+  safe.client_timeout = 800'000;
+  safe.effect = balancer::Effect::kSafe;
   settings.classes = {safe};
-  sandstand::Balancer module(settings);
-  sandstand::ListUpdate list;
+  balancer::Balancer module(settings);
+  balancer::EndpointListUpdate list;
   for (int i = 0; i < state.range(0); ++i) {
-    sandstand::ServerEntry entry;
-    entry.id = static_cast<sandstand::ServerId>(i);
+    balancer::ServerEntry entry;
+    entry.id = static_cast<balancer::ServerId>(i);
     entry.zone = i % 15;
     list.entries.push_back(entry);
   }
-  std::vector<sandstand::Action> actions;
-  sandstand::Micros now = 1'000'000;
+  std::vector<balancer::Action> actions;
+  balancer::Micros now = 1'000'000;
   module.Handle(now, list, &actions);
-  sandstand::ListUpdate change;
-  change.kind = sandstand::ListUpdate::Kind::kChanges;
+  balancer::EndpointListUpdate change;
+  change.kind = balancer::EndpointListUpdate::Kind::kDelta;
   for (auto round : state) {
     (void)round;
     change.entries = {list.entries[static_cast<std::size_t>(now) % list.entries.size()]};
@@ -102,7 +102,7 @@
 }
 BENCHMARK(ListChange)->Arg(120)->Arg(1'200)->Arg(17'000)->Unit(benchmark::kMicrosecond);
 
-// The whole list as discovery gives it: reading it, and its size.
+// Reads a snapshot of the endpoint list; reports its size.
 void WholeList(benchmark::State& state) {
   std::string text = R"({"rev":1,"all":true,"targets":[)";
   for (int i = 0; i < state.range(0); ++i) {
@@ -124,7 +124,7 @@
 }
 BENCHMARK(WholeList)->Arg(120)->Arg(1'200)->Arg(17'000)->Unit(benchmark::kMillisecond);
 
-// ---- The same change by the settings feed ----
+// ---- The same change through the configuration feed ----
 
 constexpr int kServices = 510;
 
@@ -141,8 +141,8 @@
   store->Publish(1, 7, all);
 }
 
-// One changed tenant in a proxy of one service: from the answer's text to the module. Bytes: question and
-// answer with their heads. `range(1)`: services over which the tenants lie.
+// One changed tenant in a proxy of one service, from the response's text to the module. Bytes: request and
+// response with headers. `range(1)`: number of services of the tenants.
 void FeedChangeInProxy(benchmark::State& state) {
   int tenants = static_cast<int>(state.range(0)), services = static_cast<int>(state.range(1));
   config_feed::Store origin;
@@ -153,14 +153,14 @@
   options.nearby = {"m"};
   options.scope.services = {"plan-0"};
   config_feed::Follower follower(options);
-  sandstand::Settings settings;
-  settings.gateways = 1'900;
-  sandstand::ClassSettings safe;
-  safe.aim = safe.deadline = 800'000;
+  balancer::Settings settings;
+  settings.proxies = 1'900;
+  balancer::ClassSettings safe;
+  safe.latency_objective = safe.client_timeout = 800'000;
   settings.classes = {safe};
-  sandstand::Balancer module(settings);
+  balancer::Balancer module(settings);
   std::unordered_map<std::string, int> places;
-  std::vector<sandstand::Action> actions;
+  std::vector<balancer::Action> actions;
   Micros now = 0;
   auto take = [&](const std::string& text) {
     auto page = config_feed::ParsePage(text);
@@ -168,7 +168,7 @@
          config_feed::ResolveEntries(follower.store(), follower.scope(), follower.OnPage(now, *page, 0))) {
       auto tenant = config_feed::ParseTenant(entry.value.value_or(""));
       int place = places.try_emplace(entry.name, static_cast<int>(places.size())).first->second;
-      module.Handle(now, sandstand::TenantChanged{place, true, {tenant->share, tenant->quota_per_second}},
+      module.Handle(now, balancer::TenantChanged{place, true, {tenant->share, tenant->quota_per_second}},
                     &actions);
     }
   };
@@ -202,7 +202,7 @@
     ->ArgsProduct({{100, 1'000, 10'000, 65'536, 180'000}, {1, kServices}})
     ->Unit(benchmark::kMicrosecond);
 
-// One changed tenant at a control machine: publishing it and telling one proxy.
+// One changed tenant at a config server: publishing it and answering one proxy.
 void FeedChangeAtMachine(benchmark::State& state) {
   double before = HeapMegabytes();
   config_feed::Store store;
@@ -226,7 +226,7 @@
     ->Arg(180'000)
     ->Unit(benchmark::kMicrosecond);
 
-// The origin reads its file with one changed line: the one part that grows with the file, on one machine.
+// The origin reads its file with one changed line: the only cost that grows with the file.
 void OriginFileChange(benchmark::State& state) {
   auto text = [&](int serial) {
     std::string all = "{\"serial\": " + std::to_string(serial) + "}\n";
